--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::upstream_notices;
 use audit::stats;
 use errors::Error;
-use home::{Earlier, Home, Verdict};
+use home::{Home, PriorStarts, Verdict};
 use names::{AttemptId, Moment, MILLISECOND};
 use registry::Incarnation;
 use std::rc::Rc;
@@ -139,7 +139,7 @@
         if let Some(expected) = expected {
             // The one that was meant, which need not be the one that stands here by now.
             if registration.local.borrow_mut().is_not(expected) {
-                registration::local_changed(node, registration, Earlier::Until(node.started));
+                registration::local_changed(node, registration, PriorStarts::Until(node.started));
             }
         }
         return (Verdict::Shed, None);
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -16,7 +16,7 @@
 use budget::Act;
 use futures_util::future::{select, Either};
 use home::{
-    Action, AskReply, ColdCapacity, Earlier, Home, Load, Offer, ProbeResult, Reason, Refusal,
+    Action, ColdCapacity, Home, Load, Offer, PriorStarts, ProbeResult, QueryReply, Reason, Refusal,
     Verdict,
 };
 use keys::{ClaimReply, KeyHash};
@@ -140,8 +140,8 @@
         .home
         .borrow_mut()
         .as_mut()
-        .map_or(AskReply::Forgotten, |home| home.ask(now, id, boot));
-    if reply == AskReply::Started {
+        .map_or(QueryReply::Forgotten, |home| home.ask(now, id, boot));
+    if reply == QueryReply::Started {
         if let Some(job) = node.jobs.borrow_mut().get_mut(&id) {
             job.reply = route.clone();
         }
@@ -188,7 +188,7 @@
 }
 
 /// Takes in that another run of the upstream stands beside this node.
-pub fn upstream_replaced(node: &Rc<Node>, run: &registry::Instance, earlier: Earlier) {
+pub fn upstream_replaced(node: &Rc<Node>, run: &registry::Instance, earlier: PriorStarts) {
     match run.address.parse() {
         Ok(address) => {
             if let Some(pool) = &node.pool {
@@ -217,22 +217,22 @@
 /// What the upstream bears while it is cold; nothing before any declarations are known.
 fn cold_capacity(node: &Node) -> ColdCapacity {
     let Some(registration) = &node.registration else {
-        return ColdCapacity::Any;
+        return ColdCapacity::Unlimited;
     };
     let Some(in_force) = node.in_force() else {
-        return ColdCapacity::Most {
-            starts: 0,
+        return ColdCapacity::Limited {
+            starts_per_s: 0,
             cold_us: u64::MAX,
         };
     };
     let service = registration::service(registration);
     let registered = service.and_then(|service| in_force.declarations.registered.get(&service));
     match registered.and_then(|registered| registered.cold) {
-        Some(cold) => ColdCapacity::Most {
-            starts: node.cfg.cold.most(cold.starts_per_s),
+        Some(cold) => ColdCapacity::Limited {
+            starts_per_s: node.cfg.cold.most(cold.starts_per_s),
             cold_us: cold.lasts_ms * MILLISECOND,
         },
-        None => ColdCapacity::Any,
+        None => ColdCapacity::Unlimited,
     }
 }
 
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -9,7 +9,7 @@
 };
 use audit::Origin;
 use entry::Event;
-use home::AskReply;
+use home::QueryReply;
 use names::Name;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -154,6 +154,6 @@
     }
 }
 
-fn told(node: &Rc<Node>, id: names::AttemptId, reply: AskReply<crate::node::Whole>) {
+fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::Whole>) {
     deliver(node, id, Event::Told(id, reply));
 }
--- a/components/daemon/src/registration/door.rs
+++ b/components/daemon/src/registration/door.rs
@@ -8,7 +8,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::prelude::*;
 use async_std::task;
-use home::Earlier;
+use home::PriorStarts;
 use http1::{request_framing, Connection, Fault};
 use names::MILLISECOND;
 use platform::Registration as Told;
@@ -99,9 +99,9 @@
 const SILENT_PART: (u64, u64) = (2, 3);
 
 /// Whether an earlier run of this node may have sent work to the start whose registration came.
-fn earlier_run(node: &Node, sequence: u64, left_ms: u64) -> Earlier {
+fn earlier_run(node: &Node, sequence: u64, left_ms: u64) -> PriorStarts {
     let silent_us = node.cfg.registers_every_ms * MILLISECOND * SILENT_PART.0 / SILENT_PART.1;
-    Earlier::of_registration(sequence, node.started, left_ms * MILLISECOND, silent_us)
+    PriorStarts::of_registration(sequence, node.started, left_ms * MILLISECOND, silent_us)
 }
 
 /// What became of a word of the upstream.
@@ -129,7 +129,7 @@
 /// the answer may acknowledge it.
 async fn take_in(node: &Rc<Node>, registration: &Rc<Registration>, told: Told) -> Taken {
     let mut cold_ms = None;
-    let mut earlier = Earlier::Until(node.started);
+    let mut earlier = PriorStarts::Until(node.started);
     let (changed, taken) = match told {
         Told::Heartbeat(heartbeat) => {
             if !is_believed(node, registration, &heartbeat.instance, "heartbeat") {
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use errors::{Error, Result, Step};
-use home::Earlier;
+use home::PriorStarts;
 use http1::Patience;
 use registry::{Instance, State};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     }
     if earlier.state != State::Ready {
         if registration.local.borrow_mut().remembered(&earlier) {
-            local_changed(&node, &registration, Earlier::Until(node.started));
+            local_changed(&node, &registration, PriorStarts::Until(node.started));
         }
         return;
     }
@@ -50,7 +50,7 @@
             let taken = registration.local.borrow_mut().found(earlier.clone());
             audit::found(&earlier, taken);
             if taken {
-                local_changed(&node, &registration, Earlier::Until(node.started));
+                local_changed(&node, &registration, PriorStarts::Until(node.started));
             }
         }
         Err(error) => tracing::info!(%error, "the upstream of an earlier start was not found"),
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -21,7 +21,7 @@
 use audit::StartupRecords;
 use era::Eras;
 use evacuation::Evacuations;
-use home::Earlier;
+use home::PriorStarts;
 use names::{BootId, Moment, Name};
 use platform::Adapter;
 use quarantine::Fingerprint;
@@ -166,7 +166,7 @@
 
 /// Brings the home duty and this node's record in line with what is known of the upstream beside
 /// it, and tells the others. `earlier`: whether an earlier run of this node may have sent it work.
-pub fn local_changed(node: &Rc<Node>, registration: &Registration, earlier: Earlier) {
+pub fn local_changed(node: &Rc<Node>, registration: &Registration, earlier: PriorStarts) {
     let current = registration.local.borrow().current().cloned();
     let before = registration.fleet.borrow().own().upstream.clone();
     let was_known = |run: &&Instance| {
@@ -179,7 +179,7 @@
             .as_ref()
             .is_some_and(|before| before.id == current.id);
         let earlier = if is_namesake {
-            Earlier::SameIdentity
+            PriorStarts::SameIdentity
         } else {
             earlier
         };
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -3,7 +3,7 @@
 use crate::node::{Node, Whole};
 use crate::registration::{self, Registration};
 use audit::stats;
-use home::{Earlier, Home, Offer};
+use home::{Home, Offer, PriorStarts};
 use names::{AttemptId, Moment, Name};
 use notices::{HeaderNames, Notice};
 use registry::Incarnation;
@@ -37,7 +37,7 @@
     let is_news = registration.local.borrow_mut().drains(incarnation);
     if is_news {
         audit::leaving_noticed(incarnation, &node.cfg.vm);
-        registration::local_changed(node, registration, Earlier::Unknowing);
+        registration::local_changed(node, registration, PriorStarts::None);
     }
 }
 
--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -11,7 +11,7 @@
 use crate::shared::Entry;
 use crate::suspect::Suspect;
 use hedge::Second;
-use home::{AskReply, Reason, Refusal, Suspicion};
+use home::{QueryReply, Reason, Refusal, Suspicion};
 use names::{AttemptId, Moment, Name};
 
 /// Offers of one request at most, counting those that were refused or handed back.
@@ -376,7 +376,7 @@
         &mut self,
         now: Moment,
         id: AttemptId,
-        reply: AskReply<A>,
+        reply: QueryReply<A>,
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
         let Some(vm) = self.current(id) else {
@@ -384,13 +384,13 @@
         };
         entry.trust(&vm);
         match reply {
-            AskReply::Started => {
+            QueryReply::Started => {
                 self.state = State::Waiting { id, to: vm };
                 Vec::new()
             }
-            AskReply::Answered(answer) => self.answered(now, id, answer, false, entry),
-            AskReply::Ran | AskReply::Forgotten => self.broken(now, id, entry),
-            AskReply::Revoked => self.revoked(now, id, entry),
+            QueryReply::Answered(answer) => self.answered(now, id, answer, false, entry),
+            QueryReply::Ran | QueryReply::Forgotten => self.broken(now, id, entry),
+            QueryReply::Revoked => self.revoked(now, id, entry),
         }
     }
 
--- a/components/entry/src/choice.rs
+++ b/components/entry/src/choice.rs
@@ -177,14 +177,14 @@
 
     /// How much longer new work is expected to wait for the end of a slow phase, in microseconds.
     fn held_us(&self, age: u64) -> f64 {
-        let held = self.load.map_or(0, |load| load.held_us);
+        let held = self.load.map_or(0, |load| load.deferred_us);
         held.saturating_sub(age) as f64
     }
 
     /// Time that slowness adds to a request, in terms of its usual time. Work that is held until a slow
     /// phase has passed is not slowed.
     fn extra_slowness(&self, age: u64) -> f64 {
-        if self.load.is_some_and(|load| load.held_us > 0) {
+        if self.load.is_some_and(|load| load.deferred_us > 0) {
             return 0.0;
         }
         let percent = self.load.map_or(0, |load| load.slow_percent).max(100);
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -1,6 +1,6 @@
 //! What happens to a call, what the daemon has to do for it, and how it ends.
 
-use home::{AskReply, Reason, Refusal, Suspicion};
+use home::{QueryReply, Reason, Refusal, Suspicion};
 use names::{AttemptId, Name};
 
 /// What the policy says of one request.
@@ -61,7 +61,7 @@
     /// The connection to the home node broke after the offer was sent.
     Lost(AttemptId),
     /// The home duty's answer to a question.
-    Told(AttemptId, AskReply<A>),
+    Told(AttemptId, QueryReply<A>),
     /// The home duty that had the attempt is gone or can't be reached.
     Gone(AttemptId),
     /// The home node does not answer heartbeats.
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -2,7 +2,7 @@
 
 use super::{index, vm, Body, CallId, Message, World, DEADLINE_US, LEVELS};
 use entry::{Action, Event, HedgeDecision};
-use home::{AskReply, Offer};
+use home::{Offer, QueryReply};
 use names::AttemptId;
 
 impl World {
@@ -33,7 +33,7 @@
                 let node = &mut self.homes[home];
                 let reply = node.duty.ask(self.now, id, boot);
                 node.routes.insert(id, (entry, link));
-                if reply == AskReply::Revoked && self.oracle.shed.contains(&id) {
+                if reply == QueryReply::Revoked && self.oracle.shed.contains(&id) {
                     self.oracle.shed_untold += 1;
                 }
                 self.reply(home, Body::Told(id, reply));
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -5,7 +5,7 @@
 mod repeats;
 
 use entry::{Call, Candidate, Entry, Event, Origin, Outcome, RetryRate, Rule, Treatment};
-use home::{AskReply, Config, Home, Offer, ProbeResult, Refusal, Verdict};
+use home::{Config, Home, Offer, ProbeResult, QueryReply, Refusal, Verdict};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -30,7 +30,7 @@
     Broken(AttemptId),
     /// The upstream ended while it ran the attempt.
     Ended(AttemptId),
-    Told(AttemptId, AskReply<CallId>),
+    Told(AttemptId, QueryReply<CallId>),
     Straggles(AttemptId),
 }
 
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -411,7 +411,7 @@
         }
         let is_beyond = vm.run_times.p90_us().is_some_and(|p90_us| us > p90_us);
         if verdict == Verdict::Good || is_beyond {
-            vm.run_times.ran(us);
+            vm.run_times.record(us);
         }
         let answer = (verdict == Verdict::Good).then_some(running.request);
         let actions = vm.home.completed(now, id, verdict, answer);
--- a/components/entry/tests/priced.rs
+++ b/components/entry/tests/priced.rs
@@ -201,7 +201,7 @@
         }]
     ));
     let long = Load {
-        held_us: 300 * MILLISECOND,
+        deferred_us: 300 * MILLISECOND,
         ..load(1, 0, 400)
     };
     let actions = after_refusal(long);
--- a/components/home/src/cold.rs
+++ b/components/home/src/cold.rs
@@ -20,11 +20,11 @@
 pub enum ColdCapacity {
     /// As much as a warm one: nothing is declared of it.
     #[default]
-    Any,
+    Unlimited,
     /// So many starts in one second.
-    Most {
-        /// The starts.
-        starts: u32,
+    Limited {
+        /// Maximum starts in any second.
+        starts_per_s: u32,
         /// How long an upstream is cold after its start, in microseconds.
         cold_us: u64,
     },
@@ -32,15 +32,15 @@
 
 /// What may have been sent before to the start of the upstream that stands here now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Earlier {
+pub enum PriorStarts {
     /// Nothing: no earlier run of this node can have known it.
     #[default]
-    Unknowing,
+    None,
     /// As much as it bears, by an earlier run of this node that ended before this moment.
     Until(Moment),
     /// The start before had the same identity: what was meant for it may have reached this one.
     SameIdentity,
-    /// As [`Earlier::Until`], unless the first word that came here says that the upstream is so young that no earlier one was
+    /// As [`PriorStarts::Until`], unless the first word that came here says that the upstream is so young that no earlier one was
     /// acknowledged.
     UnlessYoung {
         /// Up to when.
@@ -48,7 +48,7 @@
         /// How much longer it was cold by that word, in microseconds.
         left_us: u64,
         /// For how long an upstream says nothing more once it was acknowledged, in microseconds.
-        silent_us: u64,
+        registration_gap_us: u64,
     },
 }
 
@@ -56,36 +56,41 @@
 /// times before it rests.
 const YOUNG_REGISTRATIONS: u64 = 10;
 
-impl Earlier {
+impl PriorStarts {
     /// What follows from the first registration of a start that came here, by its number, which rises from 0 or 1.
-    /// `until`: when this run of the node began. `left_us` and `silent_us` as in [`Earlier::UnlessYoung`].
-    pub fn of_registration(sequence: u64, until: Moment, left_us: u64, silent_us: u64) -> Earlier {
+    /// `until`: when this run of the node began. `left_us` and `registration_gap_us` as in [`PriorStarts::UnlessYoung`].
+    pub fn of_registration(
+        sequence: u64,
+        until: Moment,
+        left_us: u64,
+        registration_gap_us: u64,
+    ) -> PriorStarts {
         match sequence {
-            0 => Earlier::Unknowing,
-            1..=YOUNG_REGISTRATIONS => Earlier::UnlessYoung {
+            0 => PriorStarts::None,
+            1..=YOUNG_REGISTRATIONS => PriorStarts::UnlessYoung {
                 until,
                 left_us,
-                silent_us,
+                registration_gap_us,
             },
-            _ => Earlier::Until(until),
+            _ => PriorStarts::Until(until),
         }
     }
 }
 
 /// Whether another attempt may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Room {
+pub enum ColdAdmission {
     /// It may.
     Free,
     /// Not before this moment, unless the upstream says that it is warm; it may be.
-    Doubtful(Moment),
+    Unconfirmed(Moment),
     /// The upstream is cold, and bears no more before this moment.
     Full(Moment),
 }
 
 /// What is known of one upstream's warmth, and what was started there.
 #[derive(Debug, Clone, Default)]
-pub struct Cold {
+pub struct ColdLimiter {
     bears: ColdCapacity,
     /// Starts of the last window, the oldest first.
     starts: VecDeque<Moment>,
@@ -94,24 +99,24 @@
     /// Until when it is cold by its last word.
     cold_until: Option<Moment>,
     /// Whether as many as the upstream bears may have been started before this run of the node.
-    earlier: Earlier,
+    earlier: PriorStarts,
 }
 
-impl Cold {
+impl ColdLimiter {
     /// Sets what the upstream bears.
     pub fn set_cold_capacity(&mut self, bears: ColdCapacity) {
         self.bears = bears;
     }
 
     /// Takes in that another run of the upstream stands here.
-    pub fn replaced(&mut self, earlier: Earlier) {
-        if earlier == Earlier::SameIdentity {
+    pub fn replaced(&mut self, earlier: PriorStarts) {
+        if earlier == PriorStarts::SameIdentity {
             return;
         }
-        *self = Cold {
+        *self = ColdLimiter {
             bears: self.bears,
             earlier,
-            ..Cold::default()
+            ..ColdLimiter::default()
         };
     }
 
@@ -135,7 +140,7 @@
 
     /// Takes in that this process stood still: what was started before may only arrive now.
     pub fn paused(&mut self, now: Moment) {
-        self.earlier = Earlier::Until(now);
+        self.earlier = PriorStarts::Until(now);
     }
 
     /// Takes in that an attempt has started.
@@ -147,20 +152,20 @@
     }
 
     /// Whether another attempt may start after `ahead` others.
-    pub fn room(&self, now: Moment, ahead: usize) -> Room {
-        let ColdCapacity::Most {
-            starts: most,
+    pub fn admission(&self, now: Moment, ahead: usize) -> ColdAdmission {
+        let ColdCapacity::Limited {
+            starts_per_s: most,
             cold_us,
         } = self.bears
         else {
-            return Room::Free;
+            return ColdAdmission::Free;
         };
         let counted: Vec<Moment> = self.counted(now).collect();
         let used = counted.len() + ahead;
         let most = most as usize;
         let earlier = self.earlier(now, cold_us);
         if used < most && earlier.is_none() {
-            return Room::Free;
+            return ColdAdmission::Free;
         }
         // As many of the counted ones have to lie a window back as are too many now.
         let over = (used + 1).saturating_sub(most);
@@ -170,17 +175,17 @@
         };
         let freed = earlier.map_or(freed, |earlier| freed.max(earlier));
         if self.is_cold(now) {
-            Room::Full(freed)
+            ColdAdmission::Full(freed)
         } else {
-            Room::Doubtful(freed)
+            ColdAdmission::Unconfirmed(freed)
         }
     }
 
     /// How long until another attempt may start after `ahead` others, in microseconds.
     pub fn wait_us(&self, now: Moment, ahead: usize) -> u64 {
-        match self.room(now, ahead) {
-            Room::Full(until) => until.since(now),
-            Room::Free | Room::Doubtful(_) => 0,
+        match self.admission(now, ahead) {
+            ColdAdmission::Full(until) => until.since(now),
+            ColdAdmission::Free | ColdAdmission::Unconfirmed(_) => 0,
         }
     }
 
@@ -204,11 +209,13 @@
     /// Until when nothing may start because an earlier run of this node may have used the window up.
     fn earlier(&self, now: Moment, cold_us: u64) -> Option<Moment> {
         let until = match self.earlier {
-            Earlier::Unknowing | Earlier::SameIdentity => return None,
-            Earlier::UnlessYoung {
-                left_us, silent_us, ..
-            } if left_us + silent_us >= cold_us => return None,
-            Earlier::UnlessYoung { until, .. } | Earlier::Until(until) => until,
+            PriorStarts::None | PriorStarts::SameIdentity => return None,
+            PriorStarts::UnlessYoung {
+                left_us,
+                registration_gap_us,
+                ..
+            } if left_us + registration_gap_us >= cold_us => return None,
+            PriorStarts::UnlessYoung { until, .. } | PriorStarts::Until(until) => until,
         };
         let is_warm_since = self.warm_at.is_some_and(|warm_at| warm_at >= until);
         let freed = until + COLD_WINDOW_US;
--- a/components/home/src/duty.rs
+++ b/components/home/src/duty.rs
@@ -6,14 +6,14 @@
 mod holding;
 
 use crate::attempt::{Attempt, Queued, Started};
-use crate::cold::{Cold, ColdCapacity, Earlier, Room};
+use crate::cold::{ColdAdmission, ColdCapacity, ColdLimiter, PriorStarts};
 use crate::config::{Action, Config, Counters};
 use crate::depth::Depth;
 use crate::limit::{Class, Limit, Verdict};
-use crate::message::{AskReply, Load, Offer, Reason, Refusal};
-use crate::pace::Pace;
+use crate::message::{Load, Offer, QueryReply, Reason, Refusal};
+use crate::pace::Slowdown;
 use crate::queue::Queue;
-use crate::record::{Known, Record, Records};
+use crate::record::{Record, RecordLookup, Records};
 use crate::request_limit::RequestLimit;
 use crate::stragglers::Stragglers;
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
@@ -40,9 +40,9 @@
     queue: Queue,
     records: Records<A>,
     leaving: bool,
-    pace: Pace,
+    pace: Slowdown,
     stragglers: Stragglers,
-    cold: Cold,
+    cold: ColdLimiter,
     request_limit: RequestLimit,
     /// When the look at the upstream began that is under way.
     looking: Option<Moment>,
@@ -66,9 +66,9 @@
             running: HashMap::new(),
             queue: Queue::default(),
             leaving: false,
-            pace: Pace::default(),
+            pace: Slowdown::default(),
             stragglers: Stragglers::default(),
-            cold: Cold::default(),
+            cold: ColdLimiter::default(),
             request_limit: RequestLimit::default(),
             looking: None,
             unsettled: Vec::new(),
@@ -86,41 +86,41 @@
             return Vec::new();
         }
         match self.records.look_up(offer.id) {
-            Known::Ended(_) => {
+            RecordLookup::Ended(_) => {
                 self.counters.late_offers += 1;
                 Vec::new()
             }
-            Known::Forgotten => {
+            RecordLookup::Forgotten => {
                 self.counters.late_offers += 1;
                 vec![Action::Refuse(offer.id, refusal(Reason::Stale, 0))]
             }
-            Known::New => self.decide(now, offer),
+            RecordLookup::New => self.decide(now, offer),
         }
     }
 
     /// Answers a question about an attempt. Asking is fencing: an attempt that has not started is
     /// recorded as not run and can't start afterwards. `boot` is the boot to which the attempt was
     /// offered; another boot knows nothing of it.
-    pub fn ask(&mut self, now: Moment, id: AttemptId, boot: BootId) -> AskReply<A> {
+    pub fn ask(&mut self, now: Moment, id: AttemptId, boot: BootId) -> QueryReply<A> {
         if boot != self.boot {
-            return AskReply::Forgotten;
+            return QueryReply::Forgotten;
         }
         if self.running.contains_key(&id) {
-            return AskReply::Started;
+            return QueryReply::Started;
         }
         if self.revoke(now, id) {
-            return AskReply::Revoked;
+            return QueryReply::Revoked;
         }
         match self.records.look_up(id) {
-            Known::Ended(Record::Answered(Some(answer))) => AskReply::Answered(answer),
-            Known::Ended(Record::Answered(None)) => AskReply::Ran,
-            Known::Ended(Record::Broken) => AskReply::Ran,
-            Known::Ended(Record::NotRun | Record::Displaced) => AskReply::Revoked,
-            Known::Forgotten => AskReply::Forgotten,
-            Known::New => {
+            RecordLookup::Ended(Record::Answered(Some(answer))) => QueryReply::Answered(answer),
+            RecordLookup::Ended(Record::Answered(None)) => QueryReply::Ran,
+            RecordLookup::Ended(Record::Broken) => QueryReply::Ran,
+            RecordLookup::Ended(Record::NotRun | Record::Displaced) => QueryReply::Revoked,
+            RecordLookup::Forgotten => QueryReply::Forgotten,
+            RecordLookup::New => {
                 self.counters.fenced += 1;
                 self.records.end(now, id, Record::NotRun);
-                AskReply::Revoked
+                QueryReply::Revoked
             }
         }
     }
@@ -146,7 +146,7 @@
         let service_us = now.since(attempt.state().at);
         if verdict == Verdict::Good {
             let percent = attempt.state().percent;
-            self.pace.ran(attempt.class(), service_us, percent);
+            self.pace.record_run(attempt.class(), service_us, percent);
         }
         self.stragglers
             .ended(&attempt, service_us, verdict, &self.pace);
@@ -201,7 +201,7 @@
     /// How long the run of an attempt has taken, and the 90th percentile of runs like it, in microseconds.
     pub fn run_times(&self, now: Moment, id: AttemptId) -> Option<(u64, u64)> {
         let attempt = self.running.get(&id)?;
-        let usual_us = self.stragglers.usual_us(attempt)?;
+        let usual_us = self.stragglers.typical_us(attempt)?;
         Some((now.since(attempt.state().at), usual_us))
     }
 
@@ -238,7 +238,7 @@
             service_us: self.limit.service_us(&running) as u64,
             errors_permille: self.limit.errors_permille(),
             slow_percent: self.pace.reported_percent(now),
-            held_us: self.held_us(now),
+            deferred_us: self.held_us(now),
             cold_wait_us: self.cold.wait_us(now, 0),
             request_limit: self.request_limit(),
             limit_wait_us: self.request_limit.wait_us(now, self.queue.len()),
@@ -249,7 +249,7 @@
     /// The whole answer of an attempt, while it is kept.
     pub fn answer(&self, id: AttemptId) -> Option<A> {
         match self.records.look_up(id) {
-            Known::Ended(Record::Answered(answer)) => answer,
+            RecordLookup::Ended(Record::Answered(answer)) => answer,
             _ => None,
         }
     }
@@ -300,18 +300,18 @@
             return;
         }
         let pace = &self.pace;
-        let matters = self.queue.any(|attempt| pace.matters(attempt.class()));
+        let matters = self.queue.any(|attempt| pace.may_defer(attempt.class()));
         if matters && self.waits_for_report(now, actions) {
             return;
         }
         while !self.queue.is_empty() {
             match self.cold_room(now, 0) {
-                Room::Free => {}
-                Room::Doubtful(_) => {
+                ColdAdmission::Free => {}
+                ColdAdmission::Unconfirmed(_) => {
                     self.probe_once(now, actions);
                     return;
                 }
-                Room::Full(_) => break,
+                ColdAdmission::Full(_) => break,
             }
             if self.request_limit.wait_us(now, 0) > 0 {
                 break;
@@ -331,7 +331,7 @@
     fn next_queued(&mut self, now: Moment, limit: u32) -> Option<Attempt<Queued>> {
         let busy = self.running.len() as u32;
         let kept = self.cfg.adaptive.then_some(&self.depth);
-        let can_wait = self.cfg.looks && !self.pace.is_blind(now);
+        let can_wait = self.cfg.looks && !self.pace.is_probing_suspended(now);
         let pace = &self.pace;
         self.queue.take_first(|attempt| {
             let level = attempt.class().level;
@@ -452,14 +452,14 @@
 
     /// Takes in that another run of the upstream stands here, with `slots` slots. What runs at the
     /// one before goes on and keeps its slot until it ends.
-    pub fn replaced(&mut self, now: Moment, slots: u32, earlier: Earlier) -> Vec<Action> {
+    pub fn replaced(&mut self, now: Moment, slots: u32, earlier: PriorStarts) -> Vec<Action> {
         self.cfg.slots = slots.max(1);
         self.limit = Limit::new(self.cfg.slots);
-        self.pace = Pace::default();
+        self.pace = Slowdown::default();
         self.stragglers.forget_run_times();
         self.cold.replaced(earlier);
         self.request_limit
-            .replaced(earlier == Earlier::SameIdentity);
+            .replaced(earlier == PriorStarts::SameIdentity);
         self.down_since = None;
         let mut actions = Vec::new();
         self.fill(now, &mut actions);
@@ -475,7 +475,7 @@
     /// Takes in what an answer of the upstream says of how many requests it takes. Returns whether another limit, or none,
     /// is in force now.
     pub fn limit_noticed(&mut self, now: Moment, notice: RateNotice) -> bool {
-        self.request_limit.noticed(now, notice)
+        self.request_limit.advertised(now, notice)
     }
 
     /// The requests a second that the upstream takes, by its own word.
@@ -486,7 +486,7 @@
     /// Takes in a limit that the sender of an offer knows. Returns whether it is in force now and was not before.
     pub fn limit_recalled(&mut self, now: Moment, offer: &Offer) -> bool {
         let limit = offer.known_limit;
-        limit.is_some_and(|limit| self.request_limit.recalled(now, limit))
+        limit.is_some_and(|limit| self.request_limit.restored(now, limit))
     }
 
     /// Sets how many starts the upstream bears while it is cold.
@@ -509,12 +509,12 @@
     }
 
     /// What is known of the upstream's warmth.
-    pub fn cold(&self) -> &Cold {
+    pub fn cold(&self) -> &ColdLimiter {
         &self.cold
     }
 
     /// What is known of the upstream's pace.
-    pub fn pace(&self) -> &Pace {
+    pub fn pace(&self) -> &Slowdown {
         &self.pace
     }
 
--- a/components/home/src/duty/accounts.rs
+++ b/components/home/src/duty/accounts.rs
@@ -2,7 +2,7 @@
 
 use super::Home;
 use crate::config::AccountLoad;
-use crate::record::{Known, Record};
+use crate::record::{Record, RecordLookup};
 use names::{AttemptId, Name};
 
 impl<A: Clone> Home<A> {
@@ -16,7 +16,10 @@
 
     /// Whether the attempt was refused in a full queue for one of another account of its rank, as far as that is on record.
     pub fn is_displaced(&self, id: AttemptId) -> bool {
-        matches!(self.records.look_up(id), Known::Ended(Record::Displaced))
+        matches!(
+            self.records.look_up(id),
+            RecordLookup::Ended(Record::Displaced)
+        )
     }
 
     /// Number of accounts with attempts that wait.
--- a/components/home/src/duty/admission.rs
+++ b/components/home/src/duty/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{Home, DOWN_TRIAL_US, QUEUE_PER_SLOT};
 use crate::attempt::{Attempt, Queued};
-use crate::cold::Room;
+use crate::cold::ColdAdmission;
 use crate::config::Action;
 use crate::limit::Class;
 use crate::message::{Offer, Reason};
@@ -27,9 +27,9 @@
         let limit = self.current_limit(now, &running);
         self.limit.offered(now);
         self.depth.observe(now, offer.level);
-        let matters = self.pace.matters(class);
+        let matters = self.pace.may_defer(class);
         let room = self.cold_room(now, 0);
-        let in_doubt = matches!(room, Room::Doubtful(_));
+        let in_doubt = matches!(room, ColdAdmission::Unconfirmed(_));
         if in_doubt {
             self.probe_once(now, &mut actions);
         }
@@ -48,7 +48,7 @@
         let allowed = self.allowed(now, offer.level, limit);
         let is_first = self.queue.is_empty() || !matters && self.queue.ahead_of(&attempt) == 0;
         let is_within_limit = self.request_limit.wait_us(now, 0) == 0;
-        let has_room = room == Room::Free && is_within_limit;
+        let has_room = room == ColdAdmission::Free && is_within_limit;
         let is_free = self.running.len() < allowed as usize && is_first && has_room;
         if is_free && !self.defers_queued(now, class) {
             self.counters.probes_saved += 1;
@@ -58,7 +58,7 @@
         }
         let attempt = self.in_time(now, attempt);
         let is_taken = self.admit(now, attempt.queue(now), true, &mut actions);
-        self.counters.refused_cold += u64::from(!is_taken && room != Room::Free);
+        self.counters.refused_cold += u64::from(!is_taken && room != ColdAdmission::Free);
         self.counters.refused_limited += u64::from(!is_taken && !is_within_limit);
         actions
     }
--- a/components/home/src/duty/holding.rs
+++ b/components/home/src/duty/holding.rs
@@ -1,7 +1,7 @@
 //! Waiting for a word of the upstream, and for the end of its slow phases.
 
 use super::Home;
-use crate::cold::Room;
+use crate::cold::ColdAdmission;
 use crate::config::{Action, ProbeResult};
 use crate::limit::Class;
 use names::Moment;
@@ -26,7 +26,7 @@
                 self.down_since = None;
             }
             ProbeResult::Nothing => self.pace.probe_failed(now),
-            ProbeResult::NoBudget => self.pace.not_asked(now),
+            ProbeResult::NoBudget => self.pace.probe_denied(now),
         }
         let mut actions = Vec::new();
         self.fill(now, &mut actions);
@@ -36,7 +36,7 @@
     /// Whether nothing may start before the upstream has said how long work takes there; asks it, once
     /// for all that wait.
     pub(super) fn waits_for_report(&mut self, now: Moment, actions: &mut Vec<Action>) -> bool {
-        if !self.cfg.looks || !self.pace.is_stale(now) {
+        if !self.cfg.looks || !self.pace.needs_probe(now) {
             return false;
         }
         self.probe_once(now, actions);
@@ -54,15 +54,15 @@
 
     /// Whether another attempt may start after `ahead` others, as far as the upstream may be cold. Where it can't be
     /// asked, doubt is a no until the counted starts are a window old.
-    pub(super) fn cold_room(&self, now: Moment, ahead: usize) -> Room {
-        match self.cold.room(now, ahead) {
-            Room::Doubtful(until) if !self.can_ask(now) => Room::Full(until),
+    pub(super) fn cold_room(&self, now: Moment, ahead: usize) -> ColdAdmission {
+        match self.cold.admission(now, ahead) {
+            ColdAdmission::Unconfirmed(until) if !self.can_ask(now) => ColdAdmission::Full(until),
             room => room,
         }
     }
 
     fn can_ask(&self, now: Moment) -> bool {
-        self.cfg.looks && !self.pace.is_blind(now) && !self.pace.is_denied(now)
+        self.cfg.looks && !self.pace.is_probing_suspended(now) && !self.pace.is_probe_denied(now)
     }
 
     /// Whether work of this class should not begin now because the upstream is in a slow phase.
@@ -76,13 +76,13 @@
 
     /// The same for work that may wait. Without a way to see the phase's end it does not.
     pub(super) fn defers_queued(&self, now: Moment, class: Class) -> bool {
-        self.cfg.looks && !self.pace.is_blind(now) && self.pace.is_deferred(now, class)
+        self.cfg.looks && !self.pace.is_probing_suspended(now) && self.pace.is_deferred(now, class)
     }
 
     /// How long new work is expected to wait for the end of a slow phase, in microseconds.
     pub(super) fn held_us(&self, now: Moment) -> u64 {
         if self.cfg.looks {
-            self.pace.left_us(now)
+            self.pace.phase_left_us(now)
         } else {
             0
         }
--- a/components/home/src/message.rs
+++ b/components/home/src/message.rs
@@ -99,7 +99,7 @@
     pub slow_percent: u32,
     /// How long new work is expected to wait for the end of a slow phase, in microseconds.
     #[serde(rename = "h")]
-    pub held_us: u64,
+    pub deferred_us: u64,
     /// How long until the upstream, which is cold, bears another start, in microseconds.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
     pub cold_wait_us: u64,
@@ -205,7 +205,7 @@
 
 /// What a home duty answers when asked about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskReply<A> {
+pub enum QueryReply<A> {
     /// Running; the answer will follow on this connection.
     Started,
     /// Ran to its end; the whole answer again.
--- a/components/home/src/pace.rs
+++ b/components/home/src/pace.rs
@@ -63,7 +63,7 @@
 
 /// What is known of the pace of one upstream.
 #[derive(Debug, Clone, Default)]
-pub struct Pace {
+pub struct Slowdown {
     percent: u32,
     told: Option<Moment>,
     /// The pace that has lasted, in hundredths; at least [`USUAL_PERCENT`].
@@ -82,7 +82,7 @@
     services_us: HashMap<Class, f64>,
 }
 
-impl Pace {
+impl Slowdown {
     /// Takes in the upstream's word, in hundredths of the usual time. Returns whether it changed.
     pub fn reported(&mut self, now: Moment, percent: u32) -> bool {
         let changed = self.percent != percent;
@@ -143,17 +143,17 @@
     }
 
     /// Takes in that no look was allowed: the last word has to do for a moment, as long as it counts at all.
-    pub fn not_asked(&mut self, now: Moment) {
+    pub fn probe_denied(&mut self, now: Moment) {
         self.trusted_until = now + FRESH_US;
     }
 
     /// Whether a look was refused a moment ago.
-    pub fn is_denied(&self, now: Moment) -> bool {
+    pub fn is_probe_denied(&self, now: Moment) -> bool {
         now < self.trusted_until
     }
 
     /// Takes in how long a whole run took that began on the word `percent`.
-    pub fn ran(&mut self, class: Class, service_us: u64, percent: u32) {
+    pub fn record_run(&mut self, class: Class, service_us: u64, percent: u32) {
         let pace = f64::from(percent.max(USUAL_PERCENT)) / f64::from(USUAL_PERCENT);
         let at_usual = service_us as f64 / pace;
         let known = self.services_us.len();
@@ -188,13 +188,13 @@
     }
 
     /// Whether a start has to wait for a new word.
-    pub fn is_stale(&self, now: Moment) -> bool {
+    pub fn needs_probe(&self, now: Moment) -> bool {
         let is_fresh = self.told.is_some_and(|told| now.since(told) <= FRESH_US);
-        !is_fresh && now >= self.trusted_until && !self.is_blind(now)
+        !is_fresh && now >= self.trusted_until && !self.is_probing_suspended(now)
     }
 
     /// Whether the last looks brought nothing, so that starts don't wait for one.
-    pub fn is_blind(&self, now: Moment) -> bool {
+    pub fn is_probing_suspended(&self, now: Moment) -> bool {
         now < self.blind_until
     }
 
@@ -207,13 +207,13 @@
             return true;
         };
         let extra = f64::from(self.percent - self.usual()) / f64::from(USUAL_PERCENT);
-        extra * service_us > self.left_us(now) as f64
+        extra * service_us > self.phase_left_us(now) as f64
     }
 
     /// Whether work of this class would wait for the end of a slow phase, so that a word is of use before
     /// it starts. Saves 23 of 100 looks at a site with slow phases of 300 ms and calls of 15 ms (quiet day, mean
     /// of three).
-    pub fn matters(&self, class: Class) -> bool {
+    pub fn may_defer(&self, class: Class) -> bool {
         let Some(service_us) = self.services_us.get(&class) else {
             return true;
         };
@@ -228,7 +228,7 @@
     }
 
     /// How much longer the slow phase is expected to last, in microseconds; 0 when there is none.
-    pub fn left_us(&self, now: Moment) -> u64 {
+    pub fn phase_left_us(&self, now: Moment) -> u64 {
         let Some(phase) = self.phase.filter(|_| self.is_slow(now)) else {
             return 0;
         };
--- a/components/home/src/record.rs
+++ b/components/home/src/record.rs
@@ -22,7 +22,7 @@
 
 /// What is known of an attempt that is not active.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Known<A> {
+pub enum RecordLookup<A> {
     /// Its end is on record.
     Ended(Record<A>),
     /// Never heard of: it may still be offered.
@@ -58,15 +58,15 @@
     }
 
     /// Looks an attempt up.
-    pub fn look_up(&self, id: AttemptId) -> Known<A> {
+    pub fn look_up(&self, id: AttemptId) -> RecordLookup<A> {
         if let Some(record) = self.ends.get(&id) {
-            return Known::Ended(record.clone());
+            return RecordLookup::Ended(record.clone());
         }
         let floor = self.floors.get(&id.boot).copied().unwrap_or(0);
         if id.seq < floor {
-            Known::Forgotten
+            RecordLookup::Forgotten
         } else {
-            Known::New
+            RecordLookup::New
         }
     }
 
--- a/components/home/src/request_limit.rs
+++ b/components/home/src/request_limit.rs
@@ -32,7 +32,7 @@
 
 impl RequestLimit {
     /// Takes in what an answer says. Returns whether another limit, or none, is in force now.
-    pub fn noticed(&mut self, now: Moment, notice: RateNotice) -> bool {
+    pub fn advertised(&mut self, now: Moment, notice: RateNotice) -> bool {
         self.has_answer = true;
         let told = match notice {
             RateNotice::Unreadable => return false,
@@ -53,7 +53,7 @@
 
     /// Takes in a limit that another node has learned from an earlier run of this one. Returns whether it is in force now
     /// and was not before.
-    pub fn recalled(&mut self, now: Moment, limit: RequestRate) -> bool {
+    pub fn restored(&mut self, now: Moment, limit: RequestRate) -> bool {
         let is_news = !self.has_answer && self.named.is_none();
         if is_news {
             self.named = Some((limit, now));
--- a/components/home/src/run_times.rs
+++ b/components/home/src/run_times.rs
@@ -26,7 +26,7 @@
 
 impl RunTimes {
     /// Takes in a run.
-    pub fn ran(&mut self, us: u64) {
+    pub fn record(&mut self, us: u64) {
         self.open.push(us);
         if self.open.len() < BLOCK_RUNS {
             return;
--- a/components/home/src/stragglers.rs
+++ b/components/home/src/stragglers.rs
@@ -10,7 +10,7 @@
 
 use crate::attempt::{Attempt, Started};
 use crate::limit::{Class, Verdict};
-use crate::pace::Pace;
+use crate::pace::Slowdown;
 use crate::run_times::RunTimes;
 use names::{AttemptId, Moment, MILLISECOND};
 use std::collections::HashMap;
@@ -65,7 +65,7 @@
         attempt: &Attempt<Started>,
         service_us: u64,
         verdict: Verdict,
-        pace: &Pace,
+        pace: &Slowdown,
     ) {
         self.watched.remove(&attempt.id());
         let percent = attempt.state().percent;
@@ -85,7 +85,7 @@
         };
         let is_known = self.run_times.contains_key(&class);
         if counts && (is_known || self.run_times.len() < MOST_CLASSES) {
-            self.run_times.entry(class).or_default().ran(at_usual_us);
+            self.run_times.entry(class).or_default().record(at_usual_us);
         }
     }
 
@@ -116,7 +116,7 @@
 
     /// How long a run may take that is not to be reported, in microseconds: the 90th percentile of its class at the pace at
     /// which it began; none while that is not known.
-    pub fn usual_us(&self, attempt: &Attempt<Started>) -> Option<u64> {
+    pub fn typical_us(&self, attempt: &Attempt<Started>) -> Option<u64> {
         let percent = u64::from(attempt.state().percent).max(USUAL_PERCENT);
         Some(self.p90_us(attempt.class())? * percent / USUAL_PERCENT)
     }
--- a/components/home/tests/cold.rs
+++ b/components/home/tests/cold.rs
@@ -3,8 +3,8 @@
 //! next one down. These tests replay that load on one home duty, and then draw upstreams that turn cold at any moment.
 
 use home::{
-    Action, ColdCapacity, Config, Earlier, Home, Offer, ProbeResult, Room, Suspicion, Verdict,
-    COLD_WINDOW_US,
+    Action, ColdAdmission, ColdCapacity, Config, Home, Offer, PriorStarts, ProbeResult, Suspicion,
+    Verdict, COLD_WINDOW_US,
 };
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 use proptest::prelude::*;
@@ -45,7 +45,7 @@
 }
 
 /// A duty of an upstream with eleven slots that has just started.
-fn duty(looks: bool, earlier: Earlier) -> Home<u64> {
+fn duty(looks: bool, earlier: PriorStarts) -> Home<u64> {
     let cfg = Config {
         slots: 11,
         adaptive: false,
@@ -53,8 +53,8 @@
         ..Config::default()
     };
     let mut home = Home::new(BootId(1), cfg);
-    home.set_cold_capacity(ColdCapacity::Most {
-        starts: MOST,
+    home.set_cold_capacity(ColdCapacity::Limited {
+        starts_per_s: MOST,
         cold_us: COLD_US,
     });
     home.replaced(START, 11, earlier);
@@ -173,7 +173,7 @@
 
 #[test]
 fn an_upstream_that_is_cold_gets_no_more_in_any_second_than_it_bears_and_is_open_once_it_is_warm() {
-    let drive = replay(Drive::new(duty(true, Earlier::Unknowing), START + COLD_US));
+    let drive = replay(Drive::new(duty(true, PriorStarts::None), START + COLD_US));
     let cold: Vec<&Moment> = drive
         .starts
         .iter()
@@ -195,7 +195,7 @@
 
 #[test]
 fn a_warm_upstream_is_asked_before_more_are_started_than_a_cold_one_bears() {
-    let mut drive = replay(Drive::new(duty(true, Earlier::Unknowing), START));
+    let mut drive = replay(Drive::new(duty(true, PriorStarts::None), START));
     let began = drive.starts.len();
     assert!(began > 250, "a warm upstream is not held back: {began}");
     // It turns cold without a word just after the last look.
@@ -212,7 +212,7 @@
 
 #[test]
 fn without_looks_a_registration_tells_when_it_is_warm() {
-    let mut home = duty(false, Earlier::Unknowing);
+    let mut home = duty(false, PriorStarts::None);
     home.cold_reported(START, COLD_US);
     let mut drive = replay(Drive::new(home, START + COLD_US));
     assert_eq!(drive.most_in_a_second(START), MOST as usize);
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_node_that_starts_beside_a_cold_upstream_counts_what_the_run_before_it_may_have_started() {
-    let restarted = Earlier::Until(START);
+    let restarted = PriorStarts::Until(START);
     let mut drive = Drive::new(duty(true, restarted), START + COLD_US);
     for _ in 0..50 {
         drive.offer(true);
@@ -244,7 +244,7 @@
 
 #[test]
 fn a_node_that_starts_beside_a_warm_upstream_loses_one_look() {
-    let mut drive = Drive::new(duty(true, Earlier::Until(START)), START);
+    let mut drive = Drive::new(duty(true, PriorStarts::Until(START)), START);
     drive.pass(MILLISECOND);
     drive.offer(true);
     drive.answer_look();
@@ -256,10 +256,10 @@
     let left_us = COLD_US - 400 * MILLISECOND;
     let until = START;
     for (left_us, starts) in [(left_us, 1), (left_us - SECOND, 0)] {
-        let earlier = Earlier::UnlessYoung {
+        let earlier = PriorStarts::UnlessYoung {
             until,
             left_us,
-            silent_us: SECOND,
+            registration_gap_us: SECOND,
         };
         let mut drive = Drive::new(duty(true, earlier), START + COLD_US);
         drive.offer(true);
@@ -271,13 +271,15 @@
 /// Requests name the identity that they are meant for, so that those for the earlier start are taken by the later one.
 #[test]
 fn a_start_under_the_same_identity_has_borne_what_was_meant_for_the_one_before() {
-    let mut drive = Drive::new(duty(true, Earlier::Unknowing), START + COLD_US);
+    let mut drive = Drive::new(duty(true, PriorStarts::None), START + COLD_US);
     for _ in 0..MOST - 2 {
         drive.offer(true);
         drive.answer_look();
         drive.pass(10 * MILLISECOND);
     }
-    let actions = drive.home.replaced(drive.now, 11, Earlier::SameIdentity);
+    let actions = drive
+        .home
+        .replaced(drive.now, 11, PriorStarts::SameIdentity);
     drive.perform(actions);
     for _ in 0..10 {
         drive.offer(true);
@@ -289,7 +291,7 @@
 
 #[test]
 fn a_paused_process_counts_what_may_arrive_late() {
-    let mut drive = Drive::new(duty(true, Earlier::Unknowing), START + COLD_US);
+    let mut drive = Drive::new(duty(true, PriorStarts::None), START + COLD_US);
     drive.offer(true);
     drive.answer_look();
     assert_eq!(drive.starts.len(), 1);
@@ -299,8 +301,8 @@
     drive.answer_look();
     assert_eq!(drive.starts.len(), 1);
     assert!(matches!(
-        drive.home.cold().room(drive.now, 0),
-        Room::Full(_)
+        drive.home.cold().admission(drive.now, 0),
+        ColdAdmission::Full(_)
     ));
 }
 
@@ -341,7 +343,7 @@
         steps in proptest::collection::vec(step(), 1..400),
         looks in any::<bool>(),
     ) {
-        let mut drive = Drive::new(duty(looks, Earlier::Unknowing), START + COLD_US);
+        let mut drive = Drive::new(duty(looks, PriorStarts::None), START + COLD_US);
         // Without looks only what the upstream says by itself is known: it is drawn cold from its start on.
         let mut cold_since = Some(START);
         for step in steps {
@@ -363,7 +365,7 @@
                 }
                 Step::Replace => {
                     let now = drive.now;
-                    let actions = drive.home.replaced(now, 11, Earlier::Unknowing);
+                    let actions = drive.home.replaced(now, 11, PriorStarts::None);
                     drive.cold_until = now + COLD_US;
                     cold_since = Some(now);
                     drive.starts.clear();
@@ -381,13 +383,23 @@
 /// that started in its place took the second one for the first, and sent as much again to the cold upstream, which fell.
 #[test]
 fn a_second_registration_numbered_1_is_not_taken_for_the_first() {
-    let silent_us = 200 * MILLISECOND;
-    let second = Earlier::of_registration(1, START, COLD_US - 508 * MILLISECOND, silent_us);
+    let registration_gap_us = 200 * MILLISECOND;
+    let second =
+        PriorStarts::of_registration(1, START, COLD_US - 508 * MILLISECOND, registration_gap_us);
     let mut home = duty(false, second);
     home.cold_reported(START, COLD_US - 508 * MILLISECOND);
-    assert!(matches!(home.cold().room(START, 0), Room::Full(_)));
+    assert!(matches!(
+        home.cold().admission(START, 0),
+        ColdAdmission::Full(_)
+    ));
     // The first one of a start that numbers them from 1 comes when it is young.
-    let first = Earlier::of_registration(1, START, COLD_US, silent_us);
-    assert_eq!(duty(false, first).cold().room(START, 0), Room::Free);
-    assert_eq!(Earlier::of_registration(0, START, 0, 0), Earlier::Unknowing);
+    let first = PriorStarts::of_registration(1, START, COLD_US, registration_gap_us);
+    assert_eq!(
+        duty(false, first).cold().admission(START, 0),
+        ColdAdmission::Free
+    );
+    assert_eq!(
+        PriorStarts::of_registration(0, START, 0, 0),
+        PriorStarts::None
+    );
 }
--- a/components/home/tests/decisions.rs
+++ b/components/home/tests/decisions.rs
@@ -3,7 +3,9 @@
 //! The digests were recorded with the queue as it was before accounts took turns in it. They guard against any change of
 //! order, of refusals or of returning times where no accounts are shared among.
 
-use home::{Action, ColdCapacity, Config, Earlier, Home, Offer, ProbeResult, Suspicion, Verdict};
+use home::{
+    Action, ColdCapacity, Config, Home, Offer, PriorStarts, ProbeResult, Suspicion, Verdict,
+};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -78,7 +80,7 @@
                 Vec::new()
             }
             995 => self.home.leave(now),
-            996 => self.home.replaced(now, self.slots, Earlier::Unknowing),
+            996 => self.home.replaced(now, self.slots, PriorStarts::None),
             _ => {
                 self.home.stay();
                 self.home.tick(now)
@@ -167,16 +169,20 @@
         looks: true,
         ..plain.clone()
     };
-    let cold = ColdCapacity::Most {
-        starts: 60,
+    let cold = ColdCapacity::Limited {
+        starts_per_s: 60,
         cold_us: 3 * SECOND,
     };
     let kinds = [
-        ("plain", plain.clone(), ColdCapacity::Any),
-        ("adaptive", adaptive, ColdCapacity::Any),
-        ("looking", looking, ColdCapacity::Any),
+        ("plain", plain.clone(), ColdCapacity::Unlimited),
+        ("adaptive", adaptive, ColdCapacity::Unlimited),
+        ("looking", looking, ColdCapacity::Unlimited),
         ("cold", plain.clone(), cold),
-        ("crowded", Config { slots: 1, ..plain }, ColdCapacity::Any),
+        (
+            "crowded",
+            Config { slots: 1, ..plain },
+            ColdCapacity::Unlimited,
+        ),
     ];
     let mut table = String::from("kind seed: started refused revoked longest-queue digest\n");
     for (kind, cfg, bears) in kinds {
--- a/components/home/tests/fair/order.rs
+++ b/components/home/tests/fair/order.rs
@@ -210,8 +210,8 @@
     home.offer(now, &offer(0, "busy"));
     home.offer(now, &offer(1, "busy"));
     home.offer(now, &offer(2, account));
-    home.set_cold_capacity(ColdCapacity::Most {
-        starts: 2,
+    home.set_cold_capacity(ColdCapacity::Limited {
+        starts_per_s: 2,
         cold_us: 3 * SECOND,
     });
     home.cold_reported(now, 3 * SECOND);
--- a/components/home/tests/pace.rs
+++ b/components/home/tests/pace.rs
@@ -1,6 +1,8 @@
 //! Starts hang on what the upstream says of its pace.
 
-use home::{Action, AskReply, Class, Config, Home, Offer, Pace, ProbeResult, Reason, Verdict};
+use home::{
+    Action, Class, Config, Home, Offer, ProbeResult, QueryReply, Reason, Slowdown, Verdict,
+};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 
 const ME: BootId = BootId(1);
@@ -96,7 +98,7 @@
     let actions = home.probed(now, ProbeResult::percent(SLOW));
     assert!(is_refused(&actions, 2), "{actions:?}");
     assert!(home.is_queued(id(1)));
-    assert!(home.load(now).held_us > 50 * MILLISECOND);
+    assert!(home.load(now).deferred_us > 50 * MILLISECOND);
     let actions = home.offer(now + MILLISECOND, &offer(3, false));
     assert!(is_refused(&actions, 3), "{actions:?}");
     let later = now + LOOK_US;
@@ -105,7 +107,7 @@
         home.probed(later, ProbeResult::percent(USUAL)),
         [Action::Start(id(1))]
     );
-    assert_eq!(home.load(later).held_us, 0);
+    assert_eq!(home.load(later).deferred_us, 0);
 }
 
 #[test]
@@ -140,7 +142,7 @@
     let mut home = duty();
     home.offer(START, &offer(1, true));
     home.offer(START, &offer(2, true));
-    assert_eq!(home.ask(START, id(1), ME), AskReply::Revoked);
+    assert_eq!(home.ask(START, id(1), ME), QueryReply::Revoked);
     assert!(!home.cancel(START, id(2)));
     assert_eq!(home.probed(START, ProbeResult::percent(USUAL)), []);
     assert!(home.is_idle());
@@ -175,8 +177,8 @@
 }
 
 /// A pace after slow phases of `length_ms`, probed at every 20 ms.
-fn after_phases(length_ms: u64) -> Pace {
-    let mut pace = Pace::default();
+fn after_phases(length_ms: u64) -> Slowdown {
+    let mut pace = Slowdown::default();
     let mut now = START;
     for _ in 0..100 {
         let looks = length_ms / 20;
@@ -209,7 +211,7 @@
     };
     let mut pace = after_phases(200);
     for _ in 0..50 {
-        pace.ran(class, 500 * MILLISECOND, SLOW);
+        pace.record_run(class, 500 * MILLISECOND, SLOW);
     }
     let now = START + 60 * SECOND;
     pace.reported(now, USUAL);
@@ -219,7 +221,7 @@
         "three times 100 ms more against the wait"
     );
     for _ in 0..100 {
-        pace.ran(class, 20 * MILLISECOND, USUAL);
+        pace.record_run(class, 20 * MILLISECOND, USUAL);
     }
     assert!(!pace.is_deferred(now, class));
 }
--- a/components/home/tests/request_limit.rs
+++ b/components/home/tests/request_limit.rs
@@ -1,6 +1,6 @@
 //! Load that goes on while an upstream names how many requests a second it takes.
 
-use home::{Action, Config, Earlier, Home, Offer, Reason, RequestLimit, Suspicion, Verdict};
+use home::{Action, Config, Home, Offer, PriorStarts, Reason, RequestLimit, Suspicion, Verdict};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 use notices::{RateNotice, RequestRate};
 use proptest::prelude::*;
@@ -218,15 +218,15 @@
 fn an_answer_that_was_overtaken_does_not_lift_a_limit() {
     let mut limit = RequestLimit::default();
     let named = Moment(SECOND);
-    assert!(limit.noticed(named, RateNotice::Limit(per_s(5_000))));
+    assert!(limit.advertised(named, RateNotice::Limit(per_s(5_000))));
     let soon = named + OVERTAKING_US - 1;
-    assert!(!limit.noticed(soon, RateNotice::None));
-    assert!(!limit.noticed(soon, RateNotice::Limit(per_s(9_000))));
+    assert!(!limit.advertised(soon, RateNotice::None));
+    assert!(!limit.advertised(soon, RateNotice::Limit(per_s(9_000))));
     assert_eq!(limit.in_force(), Some(per_s(5_000)));
-    assert!(limit.noticed(soon, RateNotice::Limit(per_s(4_000))));
+    assert!(limit.advertised(soon, RateNotice::Limit(per_s(4_000))));
     let later = soon + OVERTAKING_US;
-    assert!(!limit.noticed(later, RateNotice::Unreadable));
-    assert!(limit.noticed(later, RateNotice::None));
+    assert!(!limit.advertised(later, RateNotice::Unreadable));
+    assert!(limit.advertised(later, RateNotice::None));
     assert_eq!(limit.in_force(), None);
 }
 
@@ -235,9 +235,9 @@
     let mut site = Site::new(Some(per_s(1_000)));
     site.load(Moment(1), SECOND, 50 * MILLISECOND, None);
     let now = Moment(1) + SECOND;
-    site.home.replaced(now, SLOTS, Earlier::SameIdentity);
+    site.home.replaced(now, SLOTS, PriorStarts::SameIdentity);
     assert_eq!(site.home.load(now).request_limit, Some(per_s(1_000)));
-    site.home.replaced(now, SLOTS, Earlier::Unknowing);
+    site.home.replaced(now, SLOTS, PriorStarts::None);
     assert_eq!(site.home.load(now).request_limit, None);
 }
 
@@ -267,7 +267,7 @@
     fn waits_grow_with_what_is_ahead_and_pass(milli in 0u64..60_000, starts in 0u64..50, ahead in 0usize..200) {
         let mut limit = RequestLimit::default();
         let mut now = Moment(SECOND);
-        limit.noticed(now, RateNotice::Limit(per_s(milli)));
+        limit.advertised(now, RateNotice::Limit(per_s(milli)));
         for _ in 0..starts {
             now = now + limit.wait_us(now, 0);
             prop_assert_eq!(limit.wait_us(now, 0), 0);
--- a/components/home/tests/stragglers.rs
+++ b/components/home/tests/stragglers.rs
@@ -364,8 +364,7 @@
 #[test]
 fn another_upstream_has_run_times_of_its_own() {
     let mut site = Site::warm();
-    site.home
-        .replaced(site.now, SLOTS, home::Earlier::Unknowing);
+    site.home.replaced(site.now, SLOTS, home::PriorStarts::None);
     assert_eq!(site.delay_us(offer), None);
 }
 
@@ -383,7 +382,7 @@
     ) {
         let mut times = RunTimes::default();
         for run in &runs {
-            times.ran(*run);
+            times.record(*run);
         }
         prop_assert!(runs.contains(&times.p90_us().unwrap()));
     }
@@ -400,7 +399,7 @@
                 counted += 1;
                 beyond += u32::from(run > p90);
             }
-            times.ran(run);
+            times.record(run);
         }
         let part = f64::from(beyond) / f64::from(counted);
         prop_assert!((0.07..0.17).contains(&part), "{}", part);
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -293,11 +293,11 @@
     entry.set_retry_rate(RetryRate::share(RETRY_RATIO, slack, vms));
     let mut home = Home::new(boot, cfg);
     if let Some(cold) = site.services[spec.service].cold {
-        let bears = |starts| ColdCapacity::Most {
-            starts,
+        let bears = |starts_per_s| ColdCapacity::Limited {
+            starts_per_s,
             cold_us: site.pace.cold_us,
         };
-        home.set_cold_capacity(cold.known.map_or(ColdCapacity::Any, bears));
+        home.set_cold_capacity(cold.known.map_or(ColdCapacity::Unlimited, bears));
     }
     Node {
         entry,
--- a/components/model/src/world/home_side.rs
+++ b/components/model/src/world/home_side.rs
@@ -4,7 +4,7 @@
 use crate::message::{Happening, Message, RequestId};
 use crate::upstream::Run;
 use entry::Event;
-use home::{Action, Earlier, Offer, ProbeResult, Verdict};
+use home::{Action, Offer, PriorStarts, ProbeResult, Verdict};
 use names::{AttemptId, MILLISECOND};
 
 /// Time that a look at an upstream's pace takes.
@@ -237,7 +237,7 @@
         let node = &mut self.nodes[vm];
         let slots = self.site.services[self.site.vms[vm].service].slots;
         node.home.stay();
-        let actions = node.home.replaced(self.now, slots, Earlier::Unknowing);
+        let actions = node.home.replaced(self.now, slots, PriorStarts::None);
         self.perform(vm, actions);
     }
 
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Answer, Request};
 use errors::{Error, Result, Step};
-use home::{AskReply, Load, Offer, Reason, Refusal};
+use home::{Load, Offer, QueryReply, Reason, Refusal};
 use keys::{ClaimReply, KeyHash};
 use membership::VmList;
 use names::{AttemptId, BootId};
@@ -102,7 +102,7 @@
         /// The attempt.
         id: AttemptId,
         /// What is known.
-        reply: AskReply<Arc<Answer>>,
+        reply: QueryReply<Arc<Answer>>,
     },
     /// Entry to home: nobody waits for this attempt.
     Cancel {
