--- a/components/daemon/src/links/accept.rs
+++ b/components/daemon/src/links/accept.rs
@@ -9,7 +9,7 @@
 use audit::stats;
 use errors::{Error, Result, Step};
 use futures_util::FutureExt;
-use home::Delay;
+use home::DelayEstimator;
 use names::Name;
 use std::panic::AssertUnwindSafe;
 use std::rc::Rc;
@@ -95,7 +95,7 @@
     stream: &mut futures_util::stream::SplitStream<socket::Socket>,
     reply: &Reply,
 ) -> Error {
-    let mut delay = Delay::default();
+    let mut delay = DelayEstimator::default();
     loop {
         let bytes = match socket::receive(stream, vm.as_str()).await {
             Ok(bytes) => bytes,
--- a/components/daemon/src/links/dial.rs
+++ b/components/daemon/src/links/dial.rs
@@ -13,7 +13,7 @@
 use futures_util::future::{select, Either};
 use futures_util::stream::SplitStream;
 use futures_util::FutureExt;
-use home::Delay;
+use home::DelayEstimator;
 use names::Name;
 use std::cell::Cell;
 use std::panic::AssertUnwindSafe;
@@ -181,7 +181,7 @@
         _ => return Error::new(Step::Frame, vm, "the connection was replaced"),
     };
     let reply = Reply::Peer(out);
-    let mut delay = Delay::default();
+    let mut delay = DelayEstimator::default();
     loop {
         let bytes = match socket::receive(stream, vm.as_str()).await {
             Ok(bytes) => bytes,
--- a/components/home/src/delay.rs
+++ b/components/home/src/delay.rs
@@ -8,11 +8,11 @@
 /// shortest way. Whatever a frame took beyond it, it spent waiting: in a socket's buffer while
 /// this process was paused, for example. The estimate needs no message of its own.
 #[derive(Debug, Clone, Default)]
-pub struct Delay {
+pub struct DelayEstimator {
     least: Option<i64>,
 }
 
-impl Delay {
+impl DelayEstimator {
     /// Takes in one frame; returns its extra delay in microseconds.
     pub fn observe(&mut self, sent_us: u64, arrived: Moment) -> u64 {
         let difference = arrived.0 as i64 - sent_us as i64;
--- a/components/home/src/depth.rs
+++ b/components/home/src/depth.rs
@@ -13,12 +13,12 @@
 
 /// The deepest level seen lately.
 #[derive(Debug, Clone, Default)]
-pub struct Depth {
+pub struct DepthTracker {
     deepest: u32,
     seen: Moment,
 }
 
-impl Depth {
+impl DepthTracker {
     /// Takes in the level of an offer.
     pub fn observe(&mut self, now: Moment, level: u32) {
         let old = now.since(self.seen) > REMEMBERED_US;
--- a/components/home/src/duty.rs
+++ b/components/home/src/duty.rs
@@ -8,8 +8,8 @@
 use crate::attempt::{Attempt, Queued, Started};
 use crate::cold::{ColdAdmission, ColdCapacity, ColdLimiter, PriorStarts};
 use crate::config::{Action, Config, Counters};
-use crate::depth::Depth;
-use crate::limit::{Class, Limit, Verdict};
+use crate::depth::DepthTracker;
+use crate::limit::{Class, ConcurrencyLimit, Verdict};
 use crate::message::{Load, Offer, QueryReply, Reason, Refusal};
 use crate::pace::Slowdown;
 use crate::queue::Queue;
@@ -34,8 +34,8 @@
 pub struct Home<A> {
     boot: BootId,
     cfg: Config,
-    limit: Limit,
-    depth: Depth,
+    limit: ConcurrencyLimit,
+    depth: DepthTracker,
     running: HashMap<AttemptId, Attempt<Started>>,
     queue: Queue,
     records: Records<A>,
@@ -59,8 +59,8 @@
         assert!(cfg.slots > 0, "an upstream has at least one slot");
         Home {
             boot,
-            limit: Limit::new(cfg.slots),
-            depth: Depth::default(),
+            limit: ConcurrencyLimit::new(cfg.slots),
+            depth: DepthTracker::default(),
             records: Records::new(cfg.max_records, cfg.max_answers, cfg.keep_us),
             rng: SmallRng::seed_from_u64(cfg.seed),
             running: HashMap::new(),
@@ -454,7 +454,7 @@
     /// one before goes on and keeps its slot until it ends.
     pub fn replaced(&mut self, now: Moment, slots: u32, earlier: PriorStarts) -> Vec<Action> {
         self.cfg.slots = slots.max(1);
-        self.limit = Limit::new(self.cfg.slots);
+        self.limit = ConcurrencyLimit::new(self.cfg.slots);
         self.pace = Slowdown::default();
         self.stragglers.forget_run_times();
         self.cold.replaced(earlier);
--- a/components/home/src/limit.rs
+++ b/components/home/src/limit.rs
@@ -77,7 +77,7 @@
 
 /// The adaptive limit of one upstream.
 #[derive(Debug, Clone)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     slots: u32,
     recent_us: f64,
     /// Recent service time in terms of the baseline.
@@ -88,10 +88,10 @@
     cold_since: Option<Moment>,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// A limit for an upstream with `slots` slots, starting cold.
-    pub fn new(slots: u32) -> Limit {
-        Limit {
+    pub fn new(slots: u32) -> ConcurrencyLimit {
+        ConcurrencyLimit {
             slots,
             recent_us: FIRST_GUESS_US,
             ratio: 1.0,
--- a/components/home/tests/home.rs
+++ b/components/home/tests/home.rs
@@ -1,6 +1,9 @@
 //! The home duty's decisions, one at a time.
 
-use home::{Action, Config, Delay, Depth, Home, Offer, PriorStarts, QueryReply, Reason, Verdict};
+use home::{
+    Action, Config, DelayEstimator, DepthTracker, Home, Offer, PriorStarts, QueryReply, Reason,
+    Verdict,
+};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 
 const SLOTS: u32 = 4;
@@ -212,7 +215,7 @@
 
 #[test]
 fn outer_calls_leave_slots_to_deeper_ones_while_those_come() {
-    let mut depth = Depth::default();
+    let mut depth = DepthTracker::default();
     let now = Moment(10 * SECOND);
     assert_eq!(depth.limit(now, 0, 6), 6);
     depth.observe(now, 4);
@@ -224,7 +227,7 @@
 
 #[test]
 fn the_time_a_frame_waited_is_found_without_comparing_clocks() {
-    let mut delay = Delay::default();
+    let mut delay = DelayEstimator::default();
     assert_eq!(delay.observe(1_000_000, Moment(5_300)), 0);
     assert_eq!(delay.observe(1_001_000, Moment(6_250)), 0);
     assert_eq!(delay.observe(1_002_000, Moment(3_007_250)), 3_000_000);
