--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -15,7 +15,7 @@
 use budget::{Gate, HallBudget};
 use clock::Clock;
 use declarations::{Route, Service};
-use entry::{Candidate, Entry, RetryRate, Rule, Split};
+use entry::{Candidate, Entry, RetryBudgetConfig, Rule, WeightedRoundRobin};
 use evacuation::Evacuated;
 use home::{Home, Load};
 use keys::{ClaimReply, Claims, KeyHash, Table, KEY_KEPT_US};
@@ -145,7 +145,7 @@
     /// Whether functions whose mode is `auto` are on.
     pub activation: Activation,
     /// Turns of the services among which routes are split.
-    pub splits: RefCell<HashMap<Name, Split>>,
+    pub splits: RefCell<HashMap<Name, WeightedRoundRobin>>,
     /// What the platform last said of itself.
     pub platform_state: RefCell<PlatformState>,
     /// Whether a planned stop has begun.
@@ -389,8 +389,8 @@
         };
         let nodes = registration.fleet.borrow().len();
         let limit = self.live.borrow().retries;
-        let rate = RetryRate::share(limit.ratio, limit.slack, nodes);
-        self.entry.borrow_mut().set_retry_rate(rate);
+        let rate = RetryBudgetConfig::node_share(limit.ratio, limit.slack, nodes);
+        self.entry.borrow_mut().set_retry_config(rate);
         self.refresh_budget();
         self.fleet_change.wake();
     }
--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -182,7 +182,7 @@
 
     fn begin(&mut self, now: Moment, entry: &mut Entry) -> Vec<Action<A>> {
         match self.treatment.origin {
-            Origin::Client => entry.earn_retry(&self.service),
+            Origin::Client => entry.deposit_retry(&self.service),
             Origin::Run => {}
             Origin::Repeat => entry.charge_retry(&self.service),
         }
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -20,6 +20,6 @@
 pub use event::{Action, Event, Origin, Outcome, Treatment};
 pub use hedging::{Hedge, HedgeDecision, HedgeRefusal, WAY_BACK_US};
 pub use price::Price;
-pub use retry::{RetryBudget, RetryRate};
+pub use retry::{RetryBudget, RetryBudgetConfig};
 pub use shared::Entry;
-pub use split::Split;
+pub use split::WeightedRoundRobin;
--- a/components/entry/src/retry.rs
+++ b/components/entry/src/retry.rs
@@ -7,7 +7,7 @@
 
 /// Share of a repeat deposited for each request where no bound is set.
 const DEPOSIT: f64 = 0.1;
-/// Repeats that may be saved up where no bound is set.
+/// Repeats that may accumulate where no bound is set.
 const MOST_SAVED: f64 = 10.0;
 /// Part of the fleet's bound that is given out. The rest covers calls made for repeats, which are
 /// counted after they were made, and requests that no node took in.
@@ -18,29 +18,29 @@
 
 /// How repeats are earned.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryRate {
+pub struct RetryBudgetConfig {
     /// Share of a repeat deposited for each request of a client.
-    pub per_request: f64,
-    /// Repeats that may be saved up.
-    pub most_saved: f64,
+    pub deposit_per_request: f64,
+    /// Repeats that may accumulate.
+    pub max_balance: f64,
 }
 
-impl Default for RetryRate {
-    fn default() -> RetryRate {
-        RetryRate {
-            per_request: DEPOSIT,
-            most_saved: MOST_SAVED,
+impl Default for RetryBudgetConfig {
+    fn default() -> RetryBudgetConfig {
+        RetryBudgetConfig {
+            deposit_per_request: DEPOSIT,
+            max_balance: MOST_SAVED,
         }
     }
 }
 
-impl RetryRate {
+impl RetryBudgetConfig {
     /// A node's share of a bound that holds for the whole fleet: within a window no more than
     /// `ratio` of the requests and `slack` beyond that.
-    pub fn share(ratio: f64, slack: f64, nodes: usize) -> RetryRate {
-        RetryRate {
-            per_request: ratio * GIVEN_OUT,
-            most_saved: slack * GIVEN_OUT / nodes.max(LEAST_NODES) as f64,
+    pub fn node_share(ratio: f64, slack: f64, nodes: usize) -> RetryBudgetConfig {
+        RetryBudgetConfig {
+            deposit_per_request: ratio * GIVEN_OUT,
+            max_balance: slack * GIVEN_OUT / nodes.max(LEAST_NODES) as f64,
         }
     }
 }
@@ -49,36 +49,36 @@
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     /// Repeats that may be made; below zero after calls for repeats, which are not asked.
-    saved: f64,
+    balance: f64,
 }
 
 impl RetryBudget {
     /// Takes in a request of a client.
-    pub fn earn(&mut self, rate: RetryRate) {
-        self.saved = (self.saved + rate.per_request).min(rate.most_saved.max(1.0));
+    pub fn deposit(&mut self, config: RetryBudgetConfig) {
+        self.balance = (self.balance + config.deposit_per_request).min(config.max_balance.max(1.0));
     }
 
     /// Takes one repeat out of the budget; false when there is none left.
     pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 
     /// Takes one repeat out in any case: a call made for a repeat is one itself.
     pub fn charge(&mut self) {
-        self.saved -= 1.0;
+        self.balance -= 1.0;
     }
 
     /// Gives back a repeat that reached no upstream.
     pub fn refund(&mut self) {
-        self.saved += 1.0;
+        self.balance += 1.0;
     }
 
     /// Whether a repeat could be made now.
-    pub fn is_open(&self) -> bool {
-        self.saved >= 1.0
+    pub fn can_spend(&self) -> bool {
+        self.balance >= 1.0
     }
 }
--- a/components/entry/src/shared.rs
+++ b/components/entry/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::choice::{choose, Candidate, Rule, View};
 use crate::price::Price;
-use crate::retry::{RetryBudget, RetryRate};
+use crate::retry::{RetryBudget, RetryBudgetConfig};
 use crate::shortage::Shortage;
 use home::{Load, Refusal};
 use names::{AttemptId, BootId, Moment, Name, SECOND};
@@ -25,7 +25,7 @@
     /// Services that the upstream beside this node calls.
     below: HashSet<Name>,
     shortage: Shortage,
-    retry_rate: RetryRate,
+    retry_config: RetryBudgetConfig,
     rng: SmallRng,
 }
 
@@ -40,7 +40,7 @@
             budgets: HashMap::new(),
             below: HashSet::new(),
             shortage: Shortage::default(),
-            retry_rate: RetryRate::default(),
+            retry_config: RetryBudgetConfig::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -170,14 +170,14 @@
     }
 
     /// Sets how retries are earned from now on.
-    pub fn set_retry_rate(&mut self, rate: RetryRate) {
-        self.retry_rate = rate;
+    pub fn set_retry_config(&mut self, config: RetryBudgetConfig) {
+        self.retry_config = config;
     }
 
     /// Takes in a request of a client for the service.
-    pub(crate) fn earn_retry(&mut self, service: &Name) {
-        let rate = self.retry_rate;
-        self.budget(service).earn(rate);
+    pub(crate) fn deposit_retry(&mut self, service: &Name) {
+        let config = self.retry_config;
+        self.budget(service).deposit(config);
     }
 
     pub(crate) fn spend_retry(&mut self, service: &Name) -> bool {
@@ -203,7 +203,11 @@
     /// Whether the upstream beside this node may run a repeat: the calls that it makes are repeats at
     /// the services below, whose budgets must have room for them.
     pub fn may_run_repeat(&self) -> bool {
-        let is_open = |service| self.budgets.get(service).is_some_and(RetryBudget::is_open);
+        let is_open = |service| {
+            self.budgets
+                .get(service)
+                .is_some_and(RetryBudget::can_spend)
+        };
         self.below.iter().all(is_open)
     }
 
--- a/components/entry/src/split.rs
+++ b/components/entry/src/split.rs
@@ -11,12 +11,12 @@
 /// Each node hands out its own turns, so they begin at a random one. Were all nodes to begin with the heaviest share,
 /// the lightest would get nothing in a fleet where each node has one request for the route.
 #[derive(Debug, Clone, Default)]
-pub struct Split {
+pub struct WeightedRoundRobin {
     weights: Vec<i64>,
     credit: Vec<i64>,
 }
 
-impl Split {
+impl WeightedRoundRobin {
     /// The share whose turn it is; none when there is no weight at all.
     pub fn next(
         &mut self,
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -4,7 +4,7 @@
 mod delivery;
 mod repeats;
 
-use entry::{Call, Candidate, Entry, Event, Origin, Outcome, RetryRate, Rule, Treatment};
+use entry::{Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, Rule, Treatment};
 use home::{Config, Home, Offer, ProbeResult, QueryReply, Refusal, Verdict};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -133,11 +133,11 @@
         for _ in 0..entries {
             let boot = world.boot();
             let mut duty = Entry::new(boot, Rule::Expected, boot.0);
-            if let Some(per_request) = earned {
-                let most_saved = MOST_SAVED;
-                duty.set_retry_rate(RetryRate {
-                    per_request,
-                    most_saved,
+            if let Some(deposit_per_request) = earned {
+                let max_balance = MOST_SAVED;
+                duty.set_retry_config(RetryBudgetConfig {
+                    deposit_per_request,
+                    max_balance,
                 });
             }
             world.entries.push(EntryNode {
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -1,8 +1,8 @@
 //! A hall of upstreams, their home duties and entry duties, played through a load.
 
 use entry::{
-    Action, Call, Candidate, Entry, Event, HedgeDecision, Origin, Outcome, Price, RetryRate, Rule,
-    Treatment,
+    Action, Call, Candidate, Entry, Event, HedgeDecision, Origin, Outcome, Price,
+    RetryBudgetConfig, Rule, Treatment,
 };
 use home::{Config, Home, Offer, RunTimes, Verdict};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
@@ -178,7 +178,7 @@
         };
         for i in 0..VMS as u64 {
             let mut entry = Entry::new(BootId(100 + i), Rule::Priced, SEED + i);
-            entry.set_retry_rate(RetryRate::share(RATIO, SLACK, VMS));
+            entry.set_retry_config(RetryBudgetConfig::node_share(RATIO, SLACK, VMS));
             hall.entries.push(entry);
             let cfg = Config {
                 slots: SLOTS,
--- a/components/entry/tests/retry_bound.rs
+++ b/components/entry/tests/retry_bound.rs
@@ -10,7 +10,9 @@
 //! moves spent from the budget 458 and 442 repeats where 320 and 303 were allowed, none beyond since; and
 //! `a_request_that_was_turned_away_goes_on_only_if_the_budget_allows_it`, which fails when moves are free.
 
-use entry::{Action, Call, Candidate, Entry, Event, Origin, Outcome, RetryRate, Rule, Treatment};
+use entry::{
+    Action, Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, Rule, Treatment,
+};
 use home::{Reason, Refusal};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
 use proptest::prelude::*;
@@ -137,7 +139,7 @@
     fn started(&mut self) -> Entry {
         self.boots += 1;
         let mut node = Entry::new(BootId(self.boots), Rule::Expected, self.boots);
-        node.set_retry_rate(RetryRate::share(RATIO, SLACK, NODES));
+        node.set_retry_config(RetryBudgetConfig::node_share(RATIO, SLACK, NODES));
         node.called_below(&Name::from("inner"));
         node
     }
--- a/components/entry/tests/split.rs
+++ b/components/entry/tests/split.rs
@@ -1,6 +1,6 @@
 //! Requests of a route are spread by weight.
 
-use entry::Split;
+use entry::WeightedRoundRobin;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
@@ -15,7 +15,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let weights = [90, 10, 0, 25];
     let total: u32 = weights.iter().sum();
-    let mut split = Split::default();
+    let mut split = WeightedRoundRobin::default();
     let mut turns = [0_f64; 4];
     for turn in 1..=500 {
         let share = split
@@ -36,7 +36,7 @@
 #[test]
 fn without_any_weight_there_is_no_turn() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let turn = Split::default().next([0, 0].into_iter(), &mut rng);
+    let turn = WeightedRoundRobin::default().next([0, 0].into_iter(), &mut rng);
     assert_eq!(turn, None);
 }
 
@@ -46,13 +46,13 @@
 fn first_turns_of_all_nodes_together_follow_the_weights_at_any_size() {
     for nodes in [50, 100, 200, 1_000, 2_000] {
         let mut rng = SmallRng::seed_from_u64(nodes);
-        let light = |weights: [u32; 2], splits: &mut [Split], rng: &mut SmallRng| {
+        let light = |weights: [u32; 2], splits: &mut [WeightedRoundRobin], rng: &mut SmallRng| {
             let turns = splits
                 .iter_mut()
                 .map(|split| split.next(weights.into_iter(), rng));
             turns.filter(|turn| *turn == Some(1)).count() as f64
         };
-        let mut splits = vec![Split::default(); nodes as usize];
+        let mut splits = vec![WeightedRoundRobin::default(); nodes as usize];
         // The second round follows a change of the weights.
         for (weights, part) in [([90, 10], 0.1), ([75, 25], 0.25)] {
             let share = light(weights, &mut splits, &mut rng) / nodes as f64;
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -15,7 +15,7 @@
 use crate::site::{Site, Trouble};
 use crate::tally::Tally;
 use crate::upstream::Upstream;
-use entry::{Call, Entry, RetryRate, Rule};
+use entry::{Call, Entry, RetryBudgetConfig, Rule};
 use home::{ColdCapacity, Config, Home};
 use names::{AttemptId, BootId, Moment, MILLISECOND};
 use rand::rngs::SmallRng;
@@ -290,7 +290,7 @@
     let mut entry = Entry::new(boot, Rule::Priced, rng.random());
     let vms = site.vms.len();
     let slack = RETRY_SLACK_A_VM * vms as f64;
-    entry.set_retry_rate(RetryRate::share(RETRY_RATIO, slack, vms));
+    entry.set_retry_config(RetryBudgetConfig::node_share(RETRY_RATIO, slack, vms));
     let mut home = Home::new(boot, cfg);
     if let Some(cold) = site.services[spec.service].cold {
         let bears = |starts_per_s| ColdCapacity::Limited {
