--- a/components/audit/src/requests.rs
+++ b/components/audit/src/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::limit::{allowed, Kind};
 use declarations::Route;
-use entry::{Hedge, View};
+use entry::{Hedge, UpstreamView};
 use home::{AccountLoad, Load, Offer, Reason, Refusal};
 use names::{AttemptId, Name};
 use notices::RequestRate;
@@ -120,7 +120,7 @@
 
 /// A request was offered to the node beside an upstream. `view` is what was known of it then, and
 /// `age_us` how old that was.
-pub fn offered(id: &str, offer: &Offer, to: &Name, view: &View, age_us: u64) {
+pub fn offered(id: &str, offer: &Offer, to: &Name, view: &UpstreamView, age_us: u64) {
     if allowed(Kind::Offered) {
         let load = view.load.unwrap_or_default();
         tracing::info!(
@@ -167,7 +167,7 @@
 /// went, or would have gone.
 pub fn hedged(id: &str, hedge: &Hedge) {
     if allowed(Kind::Hedged) {
-        let second = hedge.second.map(|second| second.to_string());
+        let second = hedge.hedged.map(|hedged| hedged.to_string());
         let ms = |us: Option<u64>| us.map(|us| us / 1_000);
         tracing::info!(
             id,
@@ -177,7 +177,7 @@
             second = second.as_deref().unwrap_or("-"),
             to = hedge.to.as_ref().map_or("-", Name::as_str),
             since_offer_ms = hedge.since_offer_us / 1_000,
-            left_ms = hedge.left_us / 1_000,
+            left_ms = hedge.remaining_us / 1_000,
             expected_ms = ms(hedge.expected_us),
             load_age_ms = ms(hedge.load_age_us),
             since_busy_ms = ms(hedge.since_busy_us),
--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -3,7 +3,7 @@
 use budget::{Act, Gate, HallBudget};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use declarations::Bundle;
-use entry::{Call, Candidate, Entry, Event, Origin, Rule, Treatment};
+use entry::{Call, Candidate, Entry, Event, Origin, SelectionRule, Treatment};
 use home::{Config, Home, Offer, Verdict};
 use keys::{Begin, Claims, End, KeyHash, Table};
 use names::{AttemptId, BootId, Moment, Name};
@@ -47,10 +47,10 @@
             .map(|n| Candidate {
                 vm: Name::from(format!("vm-{n}")),
                 same_hall: n % 3 == 0,
-                own: false,
+                local: false,
             })
             .collect();
-        let mut entry = Entry::new(BootId(1), Rule::Expected, 1);
+        let mut entry = Entry::new(BootId(1), SelectionRule::Expected, 1);
         group.bench_function(BenchmarkId::from_parameter(UPSTREAMS * scale), |b| {
             b.iter(|| {
                 let treatment = Treatment {
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -199,7 +199,7 @@
         origin: origin(&call),
     };
     if is_inner {
-        node.entry.borrow_mut().called_below(&service);
+        node.entry.borrow_mut().add_dependency(&service);
     }
     let deadline_ms = call.deadline_ms;
     let caller_told = told_caller(node, &call);
--- a/components/daemon/src/candidates.rs
+++ b/components/daemon/src/candidates.rs
@@ -113,7 +113,7 @@
         .map(|vm| Candidate {
             vm: (*vm).clone(),
             same_hall,
-            own: *vm == me,
+            local: *vm == me,
         })
         .collect()
 }
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -8,7 +8,7 @@
 use crate::node::{Node, Waiter, Whole};
 use async_channel::{Receiver, Sender};
 use audit::stats::{self, Stage};
-use entry::{Action, Call, Candidate, Event, Origin, Outcome, Price, Treatment, WAY_BACK_US};
+use entry::{Action, Call, Candidate, Event, Origin, Outcome, Price, Treatment, RETURN_TIME_US};
 use futures_util::future::{select, Either};
 use home::{Load, Offer, Suspicion};
 use keys::KeyHash;
@@ -199,7 +199,7 @@
         let offer = Offer {
             id,
             service: self.req.service.clone(),
-            remaining_us: left.saturating_sub(WAY_BACK_US),
+            remaining_us: left.saturating_sub(RETURN_TIME_US),
             objective_us: self.objective_us(),
             priority: self.treatment.priority,
             level: self.req.level,
@@ -217,7 +217,7 @@
         if repeat {
             stats::repeat_offered();
         }
-        let age_us = node.now().since(view.reported);
+        let age_us = node.now().since(view.reported_at);
         audit::offered(&self.req.id, &offer, &to, &view, age_us);
         self.attempts.push(id);
         let waiter = Waiter {
@@ -272,7 +272,7 @@
 /// Takes in the state of an upstream that came with an answer or a refusal.
 pub fn reported(node: &Rc<Node>, vm: &Name, load: Load) {
     let now = node.now();
-    node.entry.borrow_mut().reported(now, vm, load);
+    node.entry.borrow_mut().on_report(now, vm, load);
 }
 
 /// Hands an event to the call that waits for the attempt; counts it as late when there is none.
@@ -293,7 +293,7 @@
         stats::late("event");
         if let Some(refusal) = refusal {
             let mut entry = node.entry.borrow_mut();
-            entry.refused_late(node.now(), id, &refusal);
+            entry.on_late_refusal(node.now(), id, &refusal);
         }
     }
 }
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -279,7 +279,7 @@
         }
     });
     let own = node.cfg.vm.clone();
-    node.entry.borrow_mut().leaving(now, &own, leaving);
+    node.entry.borrow_mut().set_draining(now, &own, leaving);
     for reply in node.incoming.borrow().values() {
         reply.send(node, Frame::Leaving { leaving });
     }
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -70,11 +70,11 @@
         Frame::Told { id, reply } => told(node, id, reply),
         Frame::Alive { load } => {
             reported(node, from, load);
-            node.entry.borrow_mut().trust(from);
+            node.entry.borrow_mut().mark_responsive(from);
         }
         Frame::Leaving { leaving } => {
             let now = node.now();
-            node.entry.borrow_mut().leaving(now, from, leaving);
+            node.entry.borrow_mut().set_draining(now, from, leaving);
         }
         Frame::Relay {
             id,
--- a/components/daemon/src/links/heartbeat.rs
+++ b/components/daemon/src/links/heartbeat.rs
@@ -97,7 +97,7 @@
             for id in attempts {
                 entry_driver::deliver(node, *id, Event::Silent(*id));
             }
-            node.entry.borrow_mut().suspect(now, vm);
+            node.entry.borrow_mut().mark_unresponsive(now, vm);
             questions_lost(node, vm);
             if now.since(up.heard.get().max(up.opened)) > DEAD_US {
                 up.cut.try_send(()).ok();
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -15,7 +15,7 @@
 use budget::{Gate, HallBudget};
 use clock::Clock;
 use declarations::{Route, Service};
-use entry::{Candidate, Entry, RetryBudgetConfig, Rule, WeightedRoundRobin};
+use entry::{Candidate, Entry, RetryBudgetConfig, SelectionRule, WeightedRoundRobin};
 use evacuation::Evacuated;
 use home::{Home, Load};
 use keys::{ClaimReply, Claims, KeyHash, Table, KEY_KEPT_US};
@@ -408,7 +408,7 @@
                 Some(Candidate {
                     vm: vm.clone(),
                     same_hall: listed.hall == self.cfg.hall,
-                    own: *vm == self.cfg.vm,
+                    local: *vm == self.cfg.vm,
                 })
             })
             .collect()
@@ -488,11 +488,11 @@
     }
 }
 
-fn rule(name: &str) -> Rule {
+fn rule(name: &str) -> SelectionRule {
     match name {
-        "random" => Rule::Random,
-        "priced" => Rule::Priced,
-        "two-choices" => Rule::TwoChoices,
-        _ => Rule::Expected,
+        "random" => SelectionRule::Random,
+        "priced" => SelectionRule::Priced,
+        "two-choices" => SelectionRule::TwoChoices,
+        _ => SelectionRule::Expected,
     }
 }
--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -4,7 +4,7 @@
 mod offers;
 mod repeats;
 
-use crate::choice::{Candidate, Rule};
+use crate::choice::{Candidate, SelectionRule};
 use crate::event::{Action, Event, Origin, Outcome, Treatment};
 use crate::hedging::Hedge;
 use crate::price::Price;
@@ -200,9 +200,9 @@
         }
         let may_queue = match entry.rule() {
             _ if self.suspect.is_some() => true,
-            Rule::Expected => self.queue_next(now, entry),
-            Rule::Priced => self.queue_next_priced(now, entry),
-            Rule::TwoChoices | Rule::Random => true,
+            SelectionRule::Expected => self.queue_next(now, entry),
+            SelectionRule::Priced => self.queue_next_priced(now, entry),
+            SelectionRule::TwoChoices | SelectionRule::Random => true,
         };
         let (picked, suspicion) = match &self.suspect {
             Some(suspect) => suspect.next().unzip(),
@@ -224,7 +224,7 @@
         let is_trial = self.suspicion == Suspicion::Alone;
         self.queue_offers += u32::from(may_queue && !is_trial);
         let id = entry.next_attempt();
-        entry.offered(&to);
+        entry.attempt_offered(&to);
         self.offers += 1;
         self.offered_at = now;
         self.state = State::Waiting { id, to: to.clone() };
@@ -246,13 +246,13 @@
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
         let Some(vm) = self.end(id, entry) else {
-            entry.refused_late(now, id, &refusal);
+            entry.on_late_refusal(now, id, &refusal);
             return Vec::new();
         };
         self.last_refusal = Some(refusal);
         self.contacted |= refusal.reason != Reason::Uncertain;
         if refusal.reason == Reason::Busy && self.might_queue() {
-            entry.refused_busy(now, &self.service);
+            entry.on_busy_refusal(now, &self.service);
         }
         match refusal.reason {
             Reason::Deadline => return self.give_up(Reason::Deadline, entry),
@@ -262,7 +262,7 @@
             Reason::Busy if self.suspect.is_some() => self.was_busy(vm),
             Reason::Busy if !self.asked_to_queue => self.refused_by.push(vm),
             Reason::Leaving => {
-                entry.leaving(now, &vm, true);
+                entry.set_draining(now, &vm, true);
                 self.close(vm);
             }
             _ => self.close(vm),
@@ -326,7 +326,7 @@
         let Some(vm) = self.end(id, entry) else {
             return Vec::new();
         };
-        entry.suspect(now, &vm);
+        entry.mark_unresponsive(now, &vm);
         self.last_refusal = Some(Refusal {
             reason: Reason::Unreachable,
             retry_after_ms: DEFAULT_RETRY_AFTER_MS,
@@ -363,7 +363,7 @@
         let Some(to) = self.current(id) else {
             return self.dropped();
         };
-        entry.suspect(now, &to);
+        entry.mark_unresponsive(now, &to);
         let asked = matches!(self.state, State::Asking { .. });
         if self.treatment.repeatable || asked {
             return self.broken(now, id, entry);
@@ -382,7 +382,7 @@
         let Some(vm) = self.current(id) else {
             return self.dropped();
         };
-        entry.trust(&vm);
+        entry.mark_responsive(&vm);
         match reply {
             QueryReply::Started => {
                 self.state = State::Waiting { id, to: vm };
@@ -399,7 +399,7 @@
         let Some(vm) = self.current(id) else {
             return self.dropped();
         };
-        entry.suspect(now, &vm);
+        entry.mark_unresponsive(now, &vm);
         if !self.may_retry(entry) {
             return Vec::new();
         }
@@ -470,7 +470,7 @@
             self.late += 1;
             return None;
         };
-        entry.ended(&vm);
+        entry.attempt_ended(&vm);
         self.state = State::Idle;
         Some(vm)
     }
--- a/components/entry/src/call/hedge.rs
+++ b/components/entry/src/call/hedge.rs
@@ -10,7 +10,7 @@
 use super::{Call, State};
 use crate::choice::Candidate;
 use crate::event::{Action, Event};
-use crate::hedging::{Hedge, HedgeDecision, HedgeRefusal, WAY_BACK_US};
+use crate::hedging::{Hedge, HedgeDecision, HedgeRefusal, RETURN_TIME_US};
 use crate::shared::Entry;
 use crate::suspect::Suspect;
 use home::{Load, Reason, Refusal, Suspicion};
@@ -46,7 +46,7 @@
             return None;
         };
         let decision = if by == *id {
-            HedgeDecision::WonBySecond
+            HedgeDecision::WonByHedge
         } else if by == *first {
             HedgeDecision::WonByFirst
         } else {
@@ -112,10 +112,10 @@
         let mut hedge = Hedge {
             decision: HedgeDecision::Made,
             first: id,
-            second: None,
+            hedged: None,
             to: None,
             since_offer_us: now.since(self.offered_at),
-            left_us: self.deadline.since(now),
+            remaining_us: self.deadline.since(now),
             expected_us: None,
             load_age_us: None,
             since_busy_us: entry.since_busy_us(now, &self.service),
@@ -124,7 +124,7 @@
         match self.second_upstream(now, &first, &mut hedge, entry) {
             Ok(to) => {
                 let second = entry.next_attempt();
-                hedge.second = Some(second);
+                hedge.hedged = Some(second);
                 actions.push(self.start_second(id, second, to, entry));
             }
             Err(refusal) => hedge.decision = HedgeDecision::Refused(refusal),
@@ -146,7 +146,7 @@
         }
         let short_us = self.price.objective_us.unwrap_or(SHORT_KEPT_US);
         if hedge.since_busy_us.is_some_and(|us| us <= short_us) {
-            return Err(HedgeRefusal::Short);
+            return Err(HedgeRefusal::ShortOfSlots);
         }
         let to = self.pick_second(now, first, entry);
         let to = to.ok_or(HedgeRefusal::NoUpstream)?;
@@ -154,12 +154,12 @@
         let expected_us = expected_us(hedge.since_offer_us, view.load);
         hedge.to = Some(to.clone());
         hedge.expected_us = Some(expected_us);
-        hedge.load_age_us = view.load.map(|_| now.since(view.reported));
-        if expected_us + WAY_BACK_US > hedge.left_us {
+        hedge.load_age_us = view.load.map(|_| now.since(view.reported_at));
+        if expected_us + RETURN_TIME_US > hedge.remaining_us {
             return Err(HedgeRefusal::TooLate);
         }
         if !entry.spend_retry(&self.service) {
-            return Err(HedgeRefusal::Budget);
+            return Err(HedgeRefusal::BudgetExhausted);
         }
         Ok(to)
     }
@@ -169,7 +169,7 @@
         let open = self.open(false, now, entry);
         let fits = |candidate: &&Candidate| {
             let vm = &candidate.vm;
-            candidate.same_hall && vm != first && !entry.is_suspect(now, vm)
+            candidate.same_hall && vm != first && !entry.is_unresponsive(now, vm)
         };
         let open: Vec<&Candidate> = open.into_iter().filter(fits).collect();
         entry.choose(now, &open, self.price, false)
@@ -182,7 +182,7 @@
         to: Name,
         entry: &mut Entry,
     ) -> Action<A> {
-        entry.offered(&to);
+        entry.attempt_offered(&to);
         self.offers += 1;
         self.second = Second::Beside {
             first,
@@ -241,7 +241,7 @@
             }
             Event::NotSent(id) => {
                 if let Some(vm) = self.failed(id, Failure::NotRun, entry) {
-                    entry.suspect(now, &vm);
+                    entry.mark_unresponsive(now, &vm);
                     self.close(vm);
                 }
                 Vec::new()
@@ -252,7 +252,7 @@
             }
             Event::Lost(id) => {
                 if let Some(vm) = self.one_broken(now, id, entry) {
-                    entry.suspect(now, &vm);
+                    entry.mark_unresponsive(now, &vm);
                 }
                 Vec::new()
             }
@@ -260,7 +260,7 @@
                 let Some(vm) = self.one_broken(now, id, entry) else {
                     return Vec::new();
                 };
-                entry.suspect(now, &vm);
+                entry.mark_unresponsive(now, &vm);
                 vec![Action::Cancel { id, to: vm }]
             }
             Event::Ended { id, order } => {
@@ -285,19 +285,19 @@
         // A second attempt only asks for a free slot at once.
         let might_queue = self.might_queue() && self.current(id).is_some();
         let Some(vm) = self.failed(id, failure, entry) else {
-            entry.refused_late(now, id, &refusal);
+            entry.on_late_refusal(now, id, &refusal);
             return;
         };
         self.contacted |= refusal.reason != Reason::Uncertain;
         match refusal.reason {
             Reason::Busy => {
                 if might_queue {
-                    entry.refused_busy(now, &self.service);
+                    entry.on_busy_refusal(now, &self.service);
                 }
                 self.refused_by.push(vm);
             }
             Reason::Leaving => {
-                entry.leaving(now, &vm, true);
+                entry.set_draining(now, &vm, true);
                 self.close(vm);
             }
             _ => self.close(vm),
@@ -340,7 +340,7 @@
         };
         self.runs += u32::from(matches!(failure, Failure::Ran));
         self.second = Second::Parted { first, id: second };
-        entry.ended(&vm);
+        entry.attempt_ended(&vm);
         Some(vm)
     }
 
@@ -358,7 +358,7 @@
         let Some(first_to) = self.current(first) else {
             return Vec::new();
         };
-        entry.ended(&first_to);
+        entry.attempt_ended(&first_to);
         self.second = Second::Parted { first, id: second };
         self.state = State::Waiting {
             id: second,
@@ -374,7 +374,7 @@
         let Some((first, id, to)) = self.both() else {
             return Vec::new();
         };
-        entry.ended(&to);
+        entry.attempt_ended(&to);
         self.second = Second::Parted { first, id };
         vec![Action::Cancel { id, to }]
     }
@@ -394,10 +394,10 @@
         self.hedge = Some(Hedge {
             decision,
             first,
-            second: Some(second),
+            hedged: Some(second),
             to: None,
             since_offer_us: now.since(self.offered_at),
-            left_us: self.deadline.since(now),
+            remaining_us: self.deadline.since(now),
             expected_us: None,
             load_age_us: None,
             since_busy_us: None,
--- a/components/entry/src/call/offers.rs
+++ b/components/entry/src/call/offers.rs
@@ -1,7 +1,7 @@
 //! Where the next offer of a call goes, and whether it may queue there.
 
 use super::Call;
-use crate::choice::{Candidate, Rule};
+use crate::choice::{Candidate, SelectionRule};
 use crate::event::{Action, Event};
 use crate::shared::Entry;
 use home::{Reason, Refusal, Suspicion};
@@ -9,7 +9,7 @@
 
 /// Offers that ask for a free slot at once, before one that may queue.
 const IMMEDIATE_OFFERS: u32 = 2;
-/// The same under [`Rule::Priced`], to upstreams of the own hall. A third of them is in a slow phase
+/// The same under [`SelectionRule::Priced`], to upstreams of the own hall. A third of them is in a slow phase
 /// and a third full at a busy time; a refusal costs a fraction of a millisecond. Measured against 3
 /// on the users' grown sites: 0.02 to 0.04 of worth.
 const IMMEDIATE_NEAR_OFFERS: u32 = 5;
@@ -37,7 +37,7 @@
         now: Moment,
         entry: &Entry,
     ) -> Vec<&'a Candidate> {
-        let near_only = entry.rule() == Rule::Priced;
+        let near_only = entry.rule() == SelectionRule::Priced;
         self.candidates
             .iter()
             .filter(|candidate| !self.closed.contains(&candidate.vm))
@@ -45,7 +45,7 @@
                 let refused = self.refused_by.contains(&candidate.vm);
                 let fits = candidate.same_hall || !near_only;
                 let is_closed =
-                    entry.is_full(now, &candidate.vm) || entry.is_leaving(now, &candidate.vm);
+                    entry.is_full(now, &candidate.vm) || entry.is_draining(now, &candidate.vm);
                 may_queue || (fits && !refused && !is_closed)
             })
             .collect()
@@ -85,7 +85,7 @@
     /// Ends the current attempt without word of how it ended; its refusal may still arrive.
     pub(super) fn leave_attempt(&mut self, id: AttemptId, entry: &mut Entry) {
         if self.might_queue() {
-            entry.left_queued(id, &self.service);
+            entry.on_abandoned(id, &self.service);
         }
         self.end(id, entry);
     }
@@ -98,7 +98,7 @@
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
         if let Event::Refused(id, refusal) = event {
-            entry.refused_late(now, id, &refusal);
+            entry.on_late_refusal(now, id, &refusal);
         }
         self.dropped()
     }
@@ -133,7 +133,7 @@
     fn reopen_revoked(&mut self, now: Moment, failed: &Name, entry: &Entry) -> bool {
         let revoked_by = std::mem::take(&mut self.revoked_by);
         let may_reopen =
-            |vm: &Name| vm != failed && revoked_by.contains(vm) && !entry.is_leaving(now, vm);
+            |vm: &Name| vm != failed && revoked_by.contains(vm) && !entry.is_draining(now, vm);
         let before = self.closed.len();
         self.closed.retain(|vm| !may_reopen(vm));
         self.closed.len() < before
--- a/components/entry/src/choice.rs
+++ b/components/entry/src/choice.rs
@@ -32,7 +32,7 @@
 const SLOW_PART: f64 = 0.4;
 /// Share of the cost that is drawn at random, so that entry nodes don't all pick the same upstream.
 const SPREAD: f64 = 0.1;
-/// When a free slot is asked for under [`Rule::Priced`], costs up to this multiple of the least count as
+/// When a free slot is asked for under [`SelectionRule::Priced`], costs up to this multiple of the least count as
 /// equal: what is known of upstreams is old mostly, and all nodes know the same. An upstream in a slow
 /// phase costs more than that, see [`SLOW_PART`].
 const EQUAL_COSTS: f64 = 2.0;
@@ -41,7 +41,7 @@
 
 /// How upstreams are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Rule {
+pub enum SelectionRule {
     /// Least expected time to an answer; full upstreams refuse, the last offer may queue.
     #[default]
     Expected,
@@ -62,37 +62,37 @@
     /// Whether it is in this node's hall.
     pub same_hall: bool,
     /// Whether it is this node's own upstream.
-    pub own: bool,
+    pub local: bool,
 }
 
 /// What this node knows of one upstream.
 #[derive(Debug, Clone, Default)]
-pub struct View {
+pub struct UpstreamView {
     /// Attempts of this node that are not ended.
     pub outstanding: u32,
     /// Offers made since the last report.
-    pub since_report: u32,
+    pub offers_since_report: u32,
     /// The last report.
     pub load: Option<Load>,
     /// When the report arrived.
-    pub reported: Moment,
+    pub reported_at: Moment,
     /// Until when the node beside the upstream is taken as not answering.
-    pub suspect_until: Moment,
+    pub unresponsive_until: Moment,
     /// The last limit that the upstream named, also by an earlier run of the node beside it.
     pub known_limit: Option<RequestRate>,
 }
 
-impl View {
+impl UpstreamView {
     /// Whether the upstream must get no new work. The word holds for a while only: an upstream that
     /// stays after all would not be asked again. Its home duty refuses while it leaves.
-    pub fn is_leaving(&self, now: Moment) -> bool {
-        let lately = now.since(self.reported) < LEAVING_KEPT_US;
+    pub fn is_draining(&self, now: Moment) -> bool {
+        let lately = now.since(self.reported_at) < LEAVING_KEPT_US;
         lately && self.load.is_some_and(|load| load.leaving)
     }
 
     /// Whether a report that still holds says that no slot was free, or that the upstream takes no request within its limit.
     pub(crate) fn is_full(&self, now: Moment) -> bool {
-        let age = now.since(self.reported);
+        let age = now.since(self.reported_at);
         let fresh = (age as f64) < self.fullness_kept_us();
         let is_busy = |load: Load| fresh && load.in_flight + load.queued >= load.limit;
         self.limit_wait_us(age) > 0.0 || self.load.is_some_and(is_busy)
@@ -113,13 +113,13 @@
         drain.max(FULLNESS_KEPT_US as f64)
     }
 
-    pub(crate) fn is_suspect(&self, now: Moment) -> bool {
-        now < self.suspect_until
+    pub(crate) fn is_unresponsive(&self, now: Moment) -> bool {
+        now < self.unresponsive_until
     }
 
     /// Expected time
     fn expected_us(&self, now: Moment, candidate: &Candidate) -> f64 {
-        let age = now.since(self.reported);
+        let age = now.since(self.reported_at);
         let known = self.load.filter(|_| age < SLOWNESS_KEPT_US);
         let service = known.map_or(UNKNOWN_SERVICE_US, |load| load.service_us) as f64;
         let errors = known.map_or(0.0, |load| load.errors_permille as f64 / 1000.0);
@@ -133,7 +133,7 @@
 
     /// Expected time to an answer by the upstream's own word on how slow it is, in microseconds.
     fn priced_us(&self, now: Moment, candidate: &Candidate, price: Price) -> f64 {
-        let age = now.since(self.reported);
+        let age = now.since(self.reported_at);
         let load = self.load.unwrap_or_default();
         let service = match load.service_us {
             0 => UNKNOWN_SERVICE_US as f64,
@@ -160,7 +160,7 @@
         let Some(most_us) = price.most_far_wait_us() else {
             return false;
         };
-        let age = now.since(self.reported);
+        let age = now.since(self.reported_at);
         if self.limit_wait_us(age) > most_us {
             return true;
         }
@@ -196,17 +196,17 @@
         let reported = self.load.map_or(0, |load| load.in_flight + load.queued) as f64;
         let fresh = 1.0 - (age as f64 / self.fullness_kept_us()).min(1.0);
         let own = self.outstanding as f64;
-        (reported * fresh + self.since_report as f64 * fresh).max(own)
+        (reported * fresh + self.offers_since_report as f64 * fresh).max(own)
     }
 
     fn reported_load(&self) -> u32 {
         let reported = self.load.map_or(0, |load| load.in_flight + load.queued);
-        reported + self.since_report
+        reported + self.offers_since_report
     }
 }
 
 fn way_us(candidate: &Candidate) -> f64 {
-    if candidate.own {
+    if candidate.local {
         0.0
     } else if candidate.same_hall {
         HOP_US
@@ -218,39 +218,39 @@
 /// Picks one of `candidates`, or none when there is none left. `may_queue` says whether the offer may
 /// wait for a slot.
 pub(crate) fn choose(
-    rule: Rule,
+    rule: SelectionRule,
     now: Moment,
     candidates: &[&Candidate],
-    views: &HashMap<Name, View>,
+    views: &HashMap<Name, UpstreamView>,
     rng: &mut SmallRng,
     price: Price,
     may_queue: bool,
 ) -> Option<Name> {
     let mut usable = usable(now, candidates, views);
-    if rule == Rule::Priced {
+    if rule == SelectionRule::Priced {
         usable.retain(|candidate| {
             let far = !candidate.same_hall;
             !far || !view(views, candidate).is_beyond(now, price)
         });
     }
-    let usable = if rule == Rule::Priced {
+    let usable = if rule == SelectionRule::Priced {
         usable
     } else {
         sample(usable, rng)
     };
     let picked = match rule {
-        Rule::Random => usable.first(),
-        Rule::TwoChoices => usable
+        SelectionRule::Random => usable.first(),
+        SelectionRule::TwoChoices => usable
             .iter()
             .take(2)
             .min_by_key(|candidate| view(views, candidate).reported_load()),
-        Rule::Expected => least(&usable, rng, |candidate| {
+        SelectionRule::Expected => least(&usable, rng, |candidate| {
             view(views, candidate).expected_us(now, candidate)
         }),
-        Rule::Priced if may_queue => least(&usable, rng, |candidate| {
+        SelectionRule::Priced if may_queue => least(&usable, rng, |candidate| {
             view(views, candidate).priced_us(now, candidate, price)
         }),
-        Rule::Priced => any_of_least(&usable, rng, |candidate| {
+        SelectionRule::Priced => any_of_least(&usable, rng, |candidate| {
             view(views, candidate).priced_us(now, candidate, price)
         }),
     };
@@ -261,17 +261,17 @@
 fn usable<'a>(
     now: Moment,
     candidates: &[&'a Candidate],
-    views: &HashMap<Name, View>,
+    views: &HashMap<Name, UpstreamView>,
 ) -> Vec<&'a Candidate> {
     let staying: Vec<&Candidate> = candidates
         .iter()
         .copied()
-        .filter(|candidate| !view(views, candidate).is_leaving(now))
+        .filter(|candidate| !view(views, candidate).is_draining(now))
         .collect();
     let trusted: Vec<&Candidate> = staying
         .iter()
         .copied()
-        .filter(|candidate| !view(views, candidate).is_suspect(now))
+        .filter(|candidate| !view(views, candidate).is_unresponsive(now))
         .collect();
     if trusted.is_empty() {
         staying
@@ -321,6 +321,6 @@
         .choose(rng)
 }
 
-fn view(views: &HashMap<Name, View>, candidate: &Candidate) -> View {
+fn view(views: &HashMap<Name, UpstreamView>, candidate: &Candidate) -> UpstreamView {
     views.get(&candidate.vm).cloned().unwrap_or_default()
 }
--- a/components/entry/src/hedging.rs
+++ b/components/entry/src/hedging.rs
@@ -4,7 +4,7 @@
 
 /// Time an entry node leaves for the way back, so that a refusal at the deadline still arrives in
 /// time: two crossings and some slack, in microseconds.
-pub const WAY_BACK_US: u64 = 3 * MILLISECOND;
+pub const RETURN_TIME_US: u64 = 3 * MILLISECOND;
 
 /// What was decided of a second attempt, or came of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// A second attempt was made.
     Made,
     /// The second attempt brought the answer.
-    WonBySecond,
+    WonByHedge,
     /// The first attempt brought the answer.
     WonByFirst,
     /// No second attempt was made.
@@ -25,13 +25,13 @@
     /// The request may not run once more, or an upstream ended while it ran the request or a copy of it.
     NotAllowed,
     /// The service is short of slots.
-    Short,
+    ShortOfSlots,
     /// No other upstream of the hall may have a free slot.
     NoUpstream,
     /// A run of usual length would not end before the deadline.
     TooLate,
     /// The service's retry budget has no room.
-    Budget,
+    BudgetExhausted,
 }
 
 impl HedgeDecision {
@@ -39,7 +39,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             HedgeDecision::Made => "made",
-            HedgeDecision::WonBySecond => "won-by-second",
+            HedgeDecision::WonByHedge => "won-by-second",
             HedgeDecision::WonByFirst => "won-by-first",
             HedgeDecision::Refused(_) => "refused",
         }
@@ -49,10 +49,10 @@
     pub fn reason(self) -> &'static str {
         match self {
             HedgeDecision::Refused(HedgeRefusal::NotAllowed) => "not-allowed",
-            HedgeDecision::Refused(HedgeRefusal::Short) => "short",
+            HedgeDecision::Refused(HedgeRefusal::ShortOfSlots) => "short",
             HedgeDecision::Refused(HedgeRefusal::NoUpstream) => "no-upstream",
             HedgeDecision::Refused(HedgeRefusal::TooLate) => "too-late",
-            HedgeDecision::Refused(HedgeRefusal::Budget) => "budget",
+            HedgeDecision::Refused(HedgeRefusal::BudgetExhausted) => "budget",
             _ => "-",
         }
     }
@@ -66,13 +66,13 @@
     /// The attempt that straggled.
     pub first: AttemptId,
     /// The attempt made beside it.
-    pub second: Option<AttemptId>,
+    pub hedged: Option<AttemptId>,
     /// Where the second attempt goes, or would have gone.
     pub to: Option<Name>,
     /// Time since the first attempt was offered, in microseconds.
     pub since_offer_us: u64,
     /// Time left until the caller's deadline, in microseconds.
-    pub left_us: u64,
+    pub remaining_us: u64,
     /// Expected time of a second run, in microseconds; none where no upstream was chosen.
     pub expected_us: Option<u64>,
     /// Age of what was known of the chosen upstream, in microseconds.
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -16,9 +16,9 @@
 mod suspect;
 
 pub use call::Call;
-pub use choice::{Candidate, Rule, View};
+pub use choice::{Candidate, SelectionRule, UpstreamView};
 pub use event::{Action, Event, Origin, Outcome, Treatment};
-pub use hedging::{Hedge, HedgeDecision, HedgeRefusal, WAY_BACK_US};
+pub use hedging::{Hedge, HedgeDecision, HedgeRefusal, RETURN_TIME_US};
 pub use price::Price;
 pub use retry::{RetryBudget, RetryBudgetConfig};
 pub use shared::Entry;
--- a/components/entry/src/price.rs
+++ b/components/entry/src/price.rs
@@ -18,7 +18,7 @@
 /// Priorities over which the price of crossing rises.
 const CROSSING_STEPS: f64 = 2.0;
 
-/// What a call allows an offer to cost; for [`crate::Rule::Priced`].
+/// What a call allows an offer to cost; for [`crate::SelectionRule::Priced`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Price {
     /// Price of crossing to another hall, in microseconds of waiting.
--- a/components/entry/src/shortage.rs
+++ b/components/entry/src/shortage.rs
@@ -20,12 +20,12 @@
 
 impl Shortage {
     /// Takes in that an offer that might queue was refused as busy.
-    pub(crate) fn refused(&mut self, now: Moment, service: &Name) {
+    pub(crate) fn on_refusal(&mut self, now: Moment, service: &Name) {
         self.busy.insert(service.clone(), now);
     }
 
     /// Takes in that a call has left an attempt that might queue.
-    pub(crate) fn left(&mut self, id: AttemptId, service: &Name) {
+    pub(crate) fn on_abandoned(&mut self, id: AttemptId, service: &Name) {
         if self.left.len() >= MOST_LEFT {
             self.left.pop_front();
         }
@@ -33,14 +33,19 @@
     }
 
     /// Takes in a refusal of an attempt that its call has left. Returns whether it counts.
-    pub(crate) fn refused_late(&mut self, now: Moment, id: AttemptId, refusal: &Refusal) -> bool {
+    pub(crate) fn on_late_refusal(
+        &mut self,
+        now: Moment,
+        id: AttemptId,
+        refusal: &Refusal,
+    ) -> bool {
         let Some(at) = self.left.iter().position(|(left, _)| *left == id) else {
             return false;
         };
         let left = self.left.remove(at);
         match left.filter(|_| refusal.reason == Reason::Busy) {
             Some((_, service)) => {
-                self.refused(now, &service);
+                self.on_refusal(now, &service);
                 true
             }
             None => false,
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -129,7 +129,7 @@
             );
             self.oracle.hedges += 1;
         }
-        self.oracle.won_by_second += u32::from(hedged == Some(HedgeDecision::WonBySecond));
+        self.oracle.won_by_second += u32::from(hedged == Some(HedgeDecision::WonByHedge));
         for action in actions {
             self.carry_out(entry, id, action);
         }
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -4,7 +4,9 @@
 mod delivery;
 mod repeats;
 
-use entry::{Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, Rule, Treatment};
+use entry::{
+    Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, SelectionRule, Treatment,
+};
 use home::{Config, Home, Offer, ProbeResult, QueryReply, Refusal, Verdict};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -132,7 +134,7 @@
         };
         for _ in 0..entries {
             let boot = world.boot();
-            let mut duty = Entry::new(boot, Rule::Expected, boot.0);
+            let mut duty = Entry::new(boot, SelectionRule::Expected, boot.0);
             if let Some(deposit_per_request) = earned {
                 let max_balance = MOST_SAVED;
                 duty.set_retry_config(RetryBudgetConfig {
@@ -165,7 +167,7 @@
             .map(|home| Candidate {
                 vm: vm(home),
                 same_hall: true,
-                own: false,
+                local: false,
             })
             .collect();
         let treatment = Treatment {
--- a/components/entry/tests/hedge/conditions.rs
+++ b/components/entry/tests/hedge/conditions.rs
@@ -3,7 +3,7 @@
 use crate::site::{
     answered, entry, failed, full, offer, refusal, treatment, Site, DEADLINE_US, FAR, NEAR, START,
 };
-use entry::{Event, HedgeRefusal, Treatment, WAY_BACK_US};
+use entry::{Event, HedgeRefusal, Treatment, RETURN_TIME_US};
 use home::{Load, Reason};
 use names::{AttemptId, BootId, Name, MILLISECOND};
 
@@ -86,8 +86,8 @@
             let name = Name::from(vm);
             match harm {
                 "full" => site.report(vm, full()),
-                "leaving" => site.entry.leaving(site.now, &name, true),
-                _ => site.entry.suspect(site.now, &name),
+                "leaving" => site.entry.set_draining(site.now, &name, true),
+                _ => site.entry.mark_unresponsive(site.now, &name),
             }
         }
         assert_eq!(site.straggle(), Err(HedgeRefusal::NoUpstream), "{harm}");
@@ -150,7 +150,7 @@
 #[test]
 fn the_way_back_is_taken_off_the_time_that_is_left() {
     // 400 ms have passed: 200 ms are expected, and exactly as much is left without the way back.
-    let way_ms = WAY_BACK_US / MILLISECOND;
+    let way_ms = RETURN_TIME_US / MILLISECOND;
     assert_eq!(decided_with(1, 201), Err(HedgeRefusal::TooLate));
     assert_eq!(decided_with(1, 200 + way_ms), Ok(()));
 }
@@ -159,7 +159,7 @@
 #[test]
 fn without_a_repeat_in_the_budget_no_second_attempt_is_made() {
     let mut site = Site::of(treatment(), &NEAR, entry(0));
-    assert_eq!(site.straggle(), Err(HedgeRefusal::Budget));
+    assert_eq!(site.straggle(), Err(HedgeRefusal::BudgetExhausted));
     let mut site = Site::new();
     assert!(site.straggle().is_ok());
     assert!(!site.has_budget());
--- a/components/entry/tests/hedge/outcomes.rs
+++ b/components/entry/tests/hedge/outcomes.rs
@@ -22,7 +22,7 @@
         assert_eq!(outcome(&actions), Some(Outcome::Answered(7)));
         assert_eq!(cancels(&actions), [loser]);
         let decision = if second_wins {
-            HedgeDecision::WonBySecond
+            HedgeDecision::WonByHedge
         } else {
             HedgeDecision::WonByFirst
         };
@@ -144,7 +144,7 @@
     let mut site = Site::of(treatment(), &["a", "b"], entry(3));
     let (first, first_to) = site.first.clone();
     let (second, second_to, ..) = site.straggle().expect("a second attempt");
-    site.entry.leaving(site.now, &first_to, true);
+    site.entry.set_draining(site.now, &first_to, true);
     site.step(Event::Revoked(first));
     let actions = site.step(Event::Broken(second));
     let (_, to, ..) = offer(&actions).expect("a retry");
--- a/components/entry/tests/hedge/shortage.rs
+++ b/components/entry/tests/hedge/shortage.rs
@@ -24,7 +24,7 @@
 /// Checks that no second attempt is made within one objective of a refusal at the start, and that one is made then.
 fn assert_short_for_one_objective(mut site: Site) {
     site.now = START + OBJECTIVE_US;
-    assert_eq!(site.straggle(), Err(HedgeRefusal::Short));
+    assert_eq!(site.straggle(), Err(HedgeRefusal::ShortOfSlots));
     site.now = START + OBJECTIVE_US + 1;
     assert!(site.straggle().is_ok());
 }
@@ -74,7 +74,7 @@
 /// A call whose current offer may queue, since fresh reports said that all upstreams were full.
 fn call_that_may_queue(entry: &mut Entry) -> (Call<u64>, AttemptId) {
     for vm in NEAR {
-        entry.reported(START, &Name::from(vm), full());
+        entry.on_report(START, &Name::from(vm), full());
     }
     let mut call = call_of(treatment(), &NEAR);
     let actions = call.step(START, Event::Begin, entry);
@@ -92,9 +92,13 @@
         let mut site = Site::of(treatment(), &NEAR, entry(3));
         let (mut other, id) = queueing(&mut site);
         other.step(START, leave(id), &mut site.entry);
-        assert!(site.entry.refused_late(START, id, &refusal(Reason::Busy)));
+        assert!(site
+            .entry
+            .on_late_refusal(START, id, &refusal(Reason::Busy)));
         let later = START + SECOND;
-        assert!(!site.entry.refused_late(later, id, &refusal(Reason::Busy)));
+        assert!(!site
+            .entry
+            .on_late_refusal(later, id, &refusal(Reason::Busy)));
         // A suspicion against the silent node has no part in this.
         trust_all(&mut site);
         assert_short_for_one_objective(site);
@@ -112,7 +116,7 @@
 /// Ends all suspicion against nodes.
 fn trust_all(site: &mut Site) {
     for vm in NEAR {
-        site.entry.trust(&Name::from(vm));
+        site.entry.mark_responsive(&Name::from(vm));
     }
 }
 
@@ -123,12 +127,12 @@
     let (mut other, id) = queueing(&mut site);
     other.step(START, Event::HungUp, &mut site.entry);
     let entry = &mut site.entry;
-    assert!(!entry.refused_late(START, id, &refusal(Reason::Leaving)));
+    assert!(!entry.on_late_refusal(START, id, &refusal(Reason::Leaving)));
     let mut other = call_of(treatment(), &NEAR);
     let actions = other.step(START, Event::Begin, entry);
     let (id, _, may_queue, _) = offer(&actions).expect("an offer");
     assert!(!may_queue);
     other.step(START, Event::HungUp, entry);
-    assert!(!entry.refused_late(START, id, &refusal(Reason::Busy)));
+    assert!(!entry.on_late_refusal(START, id, &refusal(Reason::Busy)));
     assert!(site.straggle().is_ok());
 }
--- a/components/entry/tests/hedge/site.rs
+++ b/components/entry/tests/hedge/site.rs
@@ -2,7 +2,7 @@
 
 use entry::{
     Action, Call, Candidate, Entry, Event, HedgeDecision, HedgeRefusal, Origin, Outcome, Price,
-    Rule, Treatment,
+    SelectionRule, Treatment,
 };
 use home::{Load, Reason, Refusal};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
@@ -27,7 +27,7 @@
     let candidates = vms.iter().map(|vm| Candidate {
         vm: Name::from(*vm),
         same_hall: *vm != FAR,
-        own: false,
+        local: false,
     });
     let deadline = START + DEADLINE_US;
     Call::new("s".into(), treatment, deadline, candidates.collect()).with_price(Price::of(
@@ -39,7 +39,7 @@
 
 /// An entry duty whose service has earned `repeats`.
 pub fn entry(repeats: u32) -> Entry {
-    let mut entry = Entry::new(BootId(1), Rule::Expected, 3);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Expected, 3);
     for _ in 0..repeats * 10 {
         let mut call = call_of(treatment(), &NEAR);
         call.step(Moment(1), Event::Begin, &mut entry);
@@ -147,7 +147,7 @@
     }
 
     pub fn report(&mut self, vm: &str, load: Load) {
-        self.entry.reported(self.now, &Name::from(vm), load);
+        self.entry.on_report(self.now, &Name::from(vm), load);
     }
 
     /// Whether the service's budget has room for one repeat.
@@ -175,8 +175,8 @@
     pub fn drain_budget(&mut self) -> u32 {
         self.now = START;
         for vm in NEAR {
-            self.entry.leaving(START, &Name::from(vm), false);
-            self.entry.trust(&Name::from(vm));
+            self.entry.set_draining(START, &Name::from(vm), false);
+            self.entry.mark_responsive(&Name::from(vm));
         }
         let once = Treatment {
             repeatable: false,
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -2,7 +2,7 @@
 
 use entry::{
     Action, Call, Candidate, Entry, Event, HedgeDecision, Origin, Outcome, Price,
-    RetryBudgetConfig, Rule, Treatment,
+    RetryBudgetConfig, SelectionRule, Treatment,
 };
 use home::{Config, Home, Offer, RunTimes, Verdict};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
@@ -177,7 +177,7 @@
             rng: SmallRng::seed_from_u64(SEED),
         };
         for i in 0..VMS as u64 {
-            let mut entry = Entry::new(BootId(100 + i), Rule::Priced, SEED + i);
+            let mut entry = Entry::new(BootId(100 + i), SelectionRule::Priced, SEED + i);
             entry.set_retry_config(RetryBudgetConfig::node_share(RATIO, SLACK, VMS));
             hall.entries.push(entry);
             let cfg = Config {
@@ -210,7 +210,7 @@
             let candidates = (0..VMS).map(|i| Candidate {
                 vm: vm(i),
                 same_hall: true,
-                own: false,
+                local: false,
             });
             let treatment = Treatment {
                 repeatable: true,
@@ -255,7 +255,7 @@
                 let load = self.vms[at].home.load(now);
                 let node = self.requests[request].node;
                 if !matches!(event, Event::Straggles(_)) {
-                    self.entries[node].reported(now, &vm(at), load);
+                    self.entries[node].on_report(now, &vm(at), load);
                 }
                 self.step(request, event);
             }
@@ -298,7 +298,7 @@
                     .entry(HedgeDecision::Refused(refusal).reason())
                     .or_default() += 1;
             }
-            Some(HedgeDecision::WonBySecond) => self.row.won += usize::from(is_counted),
+            Some(HedgeDecision::WonByHedge) => self.row.won += usize::from(is_counted),
             _ => {}
         }
         let spent_us = now.since(self.requests[request].began);
--- a/components/entry/tests/priced.rs
+++ b/components/entry/tests/priced.rs
@@ -1,6 +1,8 @@
 //! The choice by expected time with a price for crossing to another hall.
 
-use entry::{Action, Call, Candidate, Entry, Event, Origin, Outcome, Price, Rule, Treatment};
+use entry::{
+    Action, Call, Candidate, Entry, Event, Origin, Outcome, Price, SelectionRule, Treatment,
+};
 use home::{Load, Reason, Refusal};
 use names::{BootId, Moment, Name, MILLISECOND};
 use notices::RequestRate;
@@ -11,7 +13,7 @@
     Candidate {
         vm: Name::from(vm),
         same_hall,
-        own: false,
+        local: false,
     }
 }
 
@@ -28,9 +30,9 @@
 
 /// Where the first offer of a call goes, given reports of the upstreams `near` and `far`.
 fn first_offer(near: Load, far: Load, crossing_ms: u64) -> Vec<Action<u64>> {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
-    entry.reported(NOW, &Name::from("near"), near);
-    entry.reported(NOW, &Name::from("far"), far);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
+    entry.on_report(NOW, &Name::from("near"), near);
+    entry.on_report(NOW, &Name::from("far"), far);
     let candidates = vec![candidate("near", true), candidate("far", false)];
     let treatment = Treatment {
         repeatable: true,
@@ -75,8 +77,8 @@
 
 #[test]
 fn when_every_upstream_is_known_to_be_full_the_caller_is_told_to_come_back_soon() {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
-    entry.reported(NOW, &Name::from("far"), load(4, 9, 100));
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
+    entry.on_report(NOW, &Name::from("far"), load(4, 9, 100));
     let treatment = Treatment {
         repeatable: true,
         priority: 5,
@@ -134,7 +136,7 @@
 
 #[test]
 fn among_several_upstreams_of_the_hall_a_free_slot_is_asked_for_before_any_queue() {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     let mut call = call_among(4);
     let mut actions = call.step(NOW, Event::Begin, &mut entry);
     let mut asked = Vec::new();
@@ -148,7 +150,7 @@
         assert!(!may_queue, "{to} was offered a place in its queue at once");
         assert!(to.as_str().starts_with("near") && !asked.contains(to));
         asked.push(to.clone());
-        entry.reported(NOW, to, load(4, 2, 100));
+        entry.on_report(NOW, to, load(4, 2, 100));
         let refusal = Refusal {
             reason: Reason::Busy,
             retry_after_ms: 100,
@@ -167,8 +169,8 @@
 
 /// Where a call goes whose hall has one upstream, which refuses a free slot and tells `news`.
 fn after_refusal(news: Load) -> Vec<Action<u64>> {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
-    entry.reported(NOW, &Name::from("far"), load(0, 0, 100));
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
+    entry.on_report(NOW, &Name::from("far"), load(0, 0, 100));
     let mut call = call_among(1);
     let actions = call.step(NOW, Event::Begin, &mut entry);
     let [Action::Offer {
@@ -181,7 +183,7 @@
         panic!("{actions:?}");
     };
     assert_eq!(to.as_str(), "near-0");
-    entry.reported(NOW, to, news);
+    entry.on_report(NOW, to, news);
     let refusal = Refusal {
         reason: Reason::Busy,
         retry_after_ms: 100,
@@ -210,13 +212,13 @@
 
 #[test]
 fn calls_that_know_the_same_spread_over_the_upstreams_of_the_hall() {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     for (i, service_ms) in [70, 90, 110, 130].iter().enumerate() {
         let known = Load {
             service_us: service_ms * MILLISECOND,
             ..load(0, 0, 100)
         };
-        entry.reported(NOW, &Name::from(format!("near-{i}").as_str()), known);
+        entry.on_report(NOW, &Name::from(format!("near-{i}").as_str()), known);
     }
     let later = NOW + 500 * MILLISECOND;
     let mut chosen = std::collections::BTreeMap::new();
@@ -235,14 +237,14 @@
 
 #[test]
 fn an_upstream_whose_answers_fail_is_asked_after_those_whose_answers_are_good() {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     for _ in 0..200 {
         for (vm, errors_permille) in [("near-0", 450), ("near-1", 4), ("near-2", 4)] {
             let known = Load {
                 errors_permille,
                 ..load(1, 0, 100)
             };
-            entry.reported(NOW, &Name::from(vm), known);
+            entry.on_report(NOW, &Name::from(vm), known);
         }
         let mut call = call_among(3).with_price(Price::of(5, 180 * MILLISECOND, false));
         let actions = call.step(NOW, Event::Begin, &mut entry);
@@ -285,22 +287,22 @@
 fn a_limit_is_known_beyond_a_restart_of_the_node_beside_the_upstream_until_that_says_it_ended() {
     let vm = Name::from("near");
     let rate = Some(RequestRate::from_milli(5_000));
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
-    entry.reported(NOW, &vm, limited(5_000, 0));
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
+    entry.on_report(NOW, &vm, limited(5_000, 0));
     assert_eq!(entry.view(&vm).known_limit, rate);
     entry.forget(&vm);
     assert_eq!(entry.view(&vm).known_limit, rate);
     // The node that has started anew has not heard of it.
-    entry.reported(NOW, &vm, load(0, 0, 100));
+    entry.on_report(NOW, &vm, load(0, 0, 100));
     assert_eq!(entry.view(&vm).known_limit, rate);
-    entry.reported(NOW, &vm, limited(5_000, 0));
-    entry.reported(NOW, &vm, load(0, 0, 100));
+    entry.on_report(NOW, &vm, limited(5_000, 0));
+    entry.on_report(NOW, &vm, load(0, 0, 100));
     assert_eq!(entry.view(&vm).known_limit, None);
 }
 
 /// What a call does when its only candidate refuses it, and an upstream without a connection is in reserve.
 fn after_a_refusal(reason: Reason) -> Vec<Action<u64>> {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     let treatment = Treatment {
         repeatable: false,
         priority: 5,
@@ -340,8 +342,8 @@
 #[test]
 fn a_long_wait_for_a_limit_is_not_believed_longer_than_a_second() {
     let vm = Name::from("far");
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
-    entry.reported(NOW, &vm, limited(0, 10_000));
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
+    entry.on_report(NOW, &vm, limited(0, 10_000));
     let treatment = Treatment {
         repeatable: true,
         priority: 5,
--- a/components/entry/tests/retry_bound.rs
+++ b/components/entry/tests/retry_bound.rs
@@ -11,7 +11,8 @@
 //! `a_request_that_was_turned_away_goes_on_only_if_the_budget_allows_it`, which fails when moves are free.
 
 use entry::{
-    Action, Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, Rule, Treatment,
+    Action, Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, SelectionRule,
+    Treatment,
 };
 use home::{Reason, Refusal};
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
@@ -138,9 +139,9 @@
 
     fn started(&mut self) -> Entry {
         self.boots += 1;
-        let mut node = Entry::new(BootId(self.boots), Rule::Expected, self.boots);
+        let mut node = Entry::new(BootId(self.boots), SelectionRule::Expected, self.boots);
         node.set_retry_config(RetryBudgetConfig::node_share(RATIO, SLACK, NODES));
-        node.called_below(&Name::from("inner"));
+        node.add_dependency(&Name::from("inner"));
         node
     }
 
@@ -276,7 +277,7 @@
     Candidate {
         vm: Name::from(format!("{upstream}")),
         same_hall: true,
-        own: false,
+        local: false,
     }
 }
 
@@ -332,7 +333,7 @@
 
 /// A call of a client with one token's worth of requests before it.
 fn call_after(requests: u32) -> (Call<u64>, Entry) {
-    let mut entry = Entry::new(BootId(1), Rule::Expected, 1);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Expected, 1);
     let treatment = Treatment {
         repeatable: false,
         priority: 1,
--- a/components/entry/tests/suspect.rs
+++ b/components/entry/tests/suspect.rs
@@ -1,6 +1,6 @@
 //! The way of a request under which an upstream has ended.
 
-use entry::{Action, Call, Candidate, Entry, Event, Origin, Outcome, Rule, Treatment};
+use entry::{Action, Call, Candidate, Entry, Event, Origin, Outcome, SelectionRule, Treatment};
 use home::{Reason, Refusal, Suspicion};
 use names::{AttemptId, BootId, Moment, Name};
 
@@ -8,7 +8,7 @@
 const VMS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 fn entry() -> Entry {
-    let mut entry = Entry::new(BootId(1), Rule::Priced, 7);
+    let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     // Every node has earned a few second runs.
     for _ in 0..50 {
         let mut call = call(true);
@@ -22,7 +22,7 @@
     let candidates = VMS.map(|vm| Candidate {
         vm: Name::from(vm),
         same_hall: true,
-        own: false,
+        local: false,
     });
     let treatment = Treatment {
         repeatable,
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -15,7 +15,7 @@
 use crate::site::{Site, Trouble};
 use crate::tally::Tally;
 use crate::upstream::Upstream;
-use entry::{Call, Entry, RetryBudgetConfig, Rule};
+use entry::{Call, Entry, RetryBudgetConfig, SelectionRule};
 use home::{ColdCapacity, Config, Home};
 use names::{AttemptId, BootId, Moment, MILLISECOND};
 use rand::rngs::SmallRng;
@@ -252,7 +252,7 @@
                 event,
             } => {
                 let vm = crate::site::vm_name(from);
-                self.nodes[to].entry.reported(self.now, &vm, load);
+                self.nodes[to].entry.on_report(self.now, &vm, load);
                 self.step(req, event);
             }
         }
@@ -287,7 +287,7 @@
         seed: rng.random(),
         ..Config::default()
     };
-    let mut entry = Entry::new(boot, Rule::Priced, rng.random());
+    let mut entry = Entry::new(boot, SelectionRule::Priced, rng.random());
     let vms = site.vms.len();
     let slack = RETRY_SLACK_A_VM * vms as f64;
     entry.set_retry_config(RetryBudgetConfig::node_share(RETRY_RATIO, slack, vms));
--- a/components/model/src/world/entry_side.rs
+++ b/components/model/src/world/entry_side.rs
@@ -93,7 +93,7 @@
             candidates.extend(drawn.map(|other| Candidate {
                 vm: vm_name(*other),
                 same_hall,
-                own: *other == vm,
+                local: *other == vm,
             }));
         }
         candidates
