--- a/components/accounts/src/identify.rs
+++ b/components/accounts/src/identify.rs
@@ -6,29 +6,29 @@
 
 /// What a request brings to say who asks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Presented {
+pub enum Credential {
     /// No key.
-    Nothing,
+    Missing,
     /// A key.
     Key(KeyDigest),
     /// The upstream beside this node makes the request while it runs one of this account, if that had any.
-    Call(Option<Arc<Account>>),
+    Inherited(Option<Arc<Account>>),
 }
 
 /// How new what is known of the accounts must be, and is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Proof {
+pub struct Freshness {
     /// Time since the platform was last known to hold nothing newer, in microseconds; none if it never was.
     pub age_us: Option<u64>,
     /// A key that was withdrawn lets nobody in after this time, in microseconds; none: declarations are believed
     /// however old they are.
-    pub withdrawn_within_us: Option<u64>,
+    pub max_age_us: Option<u64>,
 }
 
-impl Proof {
+impl Freshness {
     /// Whether a key that was withdrawn earlier than the bound allows would be known as withdrawn.
     fn holds(&self) -> bool {
-        match (self.withdrawn_within_us, self.age_us) {
+        match (self.max_age_us, self.age_us) {
             (None, _) => true,
             (Some(_), None) => false,
             (Some(bound_us), Some(age_us)) => age_us < bound_us,
@@ -38,34 +38,34 @@
 
 /// Why a request may not go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Barred {
+pub enum DenyReason {
     /// It carries no key and its route is not open to all.
     NoKey,
     /// Nobody holds the key that it carries.
     UnknownKey,
     /// The key may have been withdrawn without this node knowing.
-    Unproved,
+    StaleKeys,
 }
 
 /// In whose name a request goes on; none where no account is needed. A key that is sent must be held by somebody, also
 /// on a route that is open to all.
 pub fn identify(
     accounts: &Accounts,
-    presented: Presented,
+    presented: Credential,
     is_open: bool,
-    proof: Proof,
-) -> Result<Option<Arc<Account>>, Barred> {
+    proof: Freshness,
+) -> Result<Option<Arc<Account>>, DenyReason> {
     if accounts.is_empty() {
         return Ok(None);
     }
     match presented {
-        Presented::Call(account) => Ok(account),
-        Presented::Nothing if is_open => Ok(None),
-        Presented::Nothing => Err(Barred::NoKey),
-        Presented::Key(_) if !proof.holds() => Err(Barred::Unproved),
-        Presented::Key(digest) => match accounts.holder(&digest) {
+        Credential::Inherited(account) => Ok(account),
+        Credential::Missing if is_open => Ok(None),
+        Credential::Missing => Err(DenyReason::NoKey),
+        Credential::Key(_) if !proof.holds() => Err(DenyReason::StaleKeys),
+        Credential::Key(digest) => match accounts.holder(&digest) {
             Some(account) => Ok(Some(account.clone())),
-            None => Err(Barred::UnknownKey),
+            None => Err(DenyReason::UnknownKey),
         },
     }
 }
--- a/components/accounts/src/lib.rs
+++ b/components/accounts/src/lib.rs
@@ -9,5 +9,5 @@
 mod table;
 
 pub use digest::KeyDigest;
-pub use identify::{identify, Barred, Presented, Proof};
-pub use table::{Account, Accounts, HeldTwice, Limit, MOST_PRIORITY};
+pub use identify::{identify, Credential, DenyReason, Freshness};
+pub use table::{Account, Accounts, DuplicateKey, Limit, MAX_PRIORITY};
--- a/components/accounts/src/table.rs
+++ b/components/accounts/src/table.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// Highest priority of an account.
-pub const MOST_PRIORITY: u8 = 9;
+pub const MAX_PRIORITY: u8 = 9;
 
 /// What an account may ask of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 pub struct Account {
     /// Its name, as upstreams are told.
     pub name: Name,
-    /// A higher number is served first, up to [`MOST_PRIORITY`]; it goes before the route's.
+    /// A higher number is served first, up to [`MAX_PRIORITY`]; it goes before the route's.
     pub priority: u8,
     /// What it may ask; none: as much as it likes.
     pub limit: Option<Limit>,
@@ -30,9 +30,9 @@
 
 /// A key of an account is held by another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldTwice {
+pub struct DuplicateKey {
     /// The other account.
-    pub by: Name,
+    pub holder: Name,
 }
 
 /// The accounts by name, and who holds which key.
@@ -51,10 +51,14 @@
     }
 
     /// Gives a key to an account. A key has one holder at most.
-    pub fn give(&mut self, digest: KeyDigest, account: &Arc<Account>) -> Result<(), HeldTwice> {
-        if let Some(holder) = self.holder(&digest) {
-            let by = holder.name.clone();
-            return Err(HeldTwice { by });
+    pub fn assign_key(
+        &mut self,
+        digest: KeyDigest,
+        account: &Arc<Account>,
+    ) -> Result<(), DuplicateKey> {
+        if let Some(other) = self.holder(&digest) {
+            let holder = other.name.clone();
+            return Err(DuplicateKey { holder });
         }
         let bucket = self.holders.entry(digest.bucket()).or_default();
         bucket.push((digest, account.clone()));
@@ -84,7 +88,7 @@
     }
 
     /// Number of keys that are held.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.holders.values().map(Vec::len).sum()
     }
 
--- a/components/accounts/tests/accounts.rs
+++ b/components/accounts/tests/accounts.rs
@@ -1,6 +1,8 @@
 //! Who asks, by the key that a request carries.
 
-use accounts::{identify, Account, Accounts, Barred, HeldTwice, KeyDigest, Presented, Proof};
+use accounts::{
+    identify, Account, Accounts, Credential, DenyReason, DuplicateKey, Freshness, KeyDigest,
+};
 use names::Name;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -19,31 +21,35 @@
     let mut accounts = Accounts::default();
     for (name, key) in [("clinic", "key-of-clinic"), ("desk", "key-of-desk")] {
         let account = accounts.add(account(name));
-        let given = accounts.give(KeyDigest::of(key.as_bytes()), &account);
+        let given = accounts.assign_key(KeyDigest::of(key.as_bytes()), &account);
         given.expect("a key of its own");
     }
     accounts
 }
 
-fn key(key: &str) -> Presented {
-    Presented::Key(KeyDigest::of(key.as_bytes()))
+fn key(key: &str) -> Credential {
+    Credential::Key(KeyDigest::of(key.as_bytes()))
 }
 
-fn believed() -> Proof {
-    Proof {
+fn believed() -> Freshness {
+    Freshness {
         age_us: None,
-        withdrawn_within_us: None,
+        max_age_us: None,
     }
 }
 
-fn strict(age_us: Option<u64>) -> Proof {
-    Proof {
+fn strict(age_us: Option<u64>) -> Freshness {
+    Freshness {
         age_us,
-        withdrawn_within_us: Some(BOUND_US),
+        max_age_us: Some(BOUND_US),
     }
 }
 
-fn who(accounts: &Accounts, presented: Presented, is_open: bool) -> Result<Option<String>, Barred> {
+fn who(
+    accounts: &Accounts,
+    presented: Credential,
+    is_open: bool,
+) -> Result<Option<String>, DenyReason> {
     let found = identify(accounts, presented, is_open, believed())?;
     Ok(found.map(|account| account.name.to_string()))
 }
@@ -54,18 +60,24 @@
     let of_desk = who(&accounts, key("key-of-desk"), false);
     assert_eq!(of_desk, Ok(Some("desk".to_string())));
     for wrong in ["", "key-of-des", "key-of-desk ", "KEY-OF-DESK"] {
-        assert_eq!(who(&accounts, key(wrong), false), Err(Barred::UnknownKey));
+        assert_eq!(
+            who(&accounts, key(wrong), false),
+            Err(DenyReason::UnknownKey)
+        );
     }
 }
 
 #[test]
 fn a_key_that_nobody_holds_is_refused_on_an_open_route_too() {
     let accounts = of_two();
-    assert_eq!(who(&accounts, key("guess"), true), Err(Barred::UnknownKey));
-    assert_eq!(who(&accounts, Presented::Nothing, true), Ok(None));
     assert_eq!(
-        who(&accounts, Presented::Nothing, false),
-        Err(Barred::NoKey)
+        who(&accounts, key("guess"), true),
+        Err(DenyReason::UnknownKey)
+    );
+    assert_eq!(who(&accounts, Credential::Missing, true), Ok(None));
+    assert_eq!(
+        who(&accounts, Credential::Missing, false),
+        Err(DenyReason::NoKey)
     );
 }
 
@@ -73,15 +85,15 @@
 fn calls_go_on_in_the_name_of_their_request() {
     let accounts = of_two();
     let clinic = accounts.get("clinic").cloned();
-    let called = who(&accounts, Presented::Call(clinic), false);
+    let called = who(&accounts, Credential::Inherited(clinic), false);
     assert_eq!(called, Ok(Some("clinic".to_string())));
-    assert_eq!(who(&accounts, Presented::Call(None), false), Ok(None));
+    assert_eq!(who(&accounts, Credential::Inherited(None), false), Ok(None));
 }
 
 #[test]
 fn without_accounts_nobody_needs_a_key() {
     let none = Accounts::default();
-    assert_eq!(who(&none, Presented::Nothing, false), Ok(None));
+    assert_eq!(who(&none, Credential::Missing, false), Ok(None));
     assert_eq!(who(&none, key("any"), false), Ok(None));
 }
 
@@ -94,17 +106,17 @@
     };
     assert_eq!(asked(Some(0)), Ok(true));
     assert_eq!(asked(Some(BOUND_US - 1)), Ok(true));
-    assert_eq!(asked(Some(BOUND_US)), Err(Barred::Unproved));
-    assert_eq!(asked(None), Err(Barred::Unproved));
+    assert_eq!(asked(Some(BOUND_US)), Err(DenyReason::StaleKeys));
+    assert_eq!(asked(None), Err(DenyReason::StaleKeys));
 }
 
 #[test]
 fn a_key_has_one_holder() {
     let mut accounts = of_two();
     let third = accounts.add(account("third"));
-    let given = accounts.give(KeyDigest::of(b"key-of-desk"), &third);
-    let by = Name::from("desk");
-    assert_eq!(given, Err(HeldTwice { by }));
+    let given = accounts.assign_key(KeyDigest::of(b"key-of-desk"), &third);
+    let holder = Name::from("desk");
+    assert_eq!(given, Err(DuplicateKey { holder }));
 }
 
 #[test]
@@ -139,10 +151,10 @@
                 None => accounts.add(account(&name)),
             };
             let is_free = !map.contains_key(&key);
-            prop_assert_eq!(accounts.give(KeyDigest::of(&key), &account).is_ok(), is_free);
+            prop_assert_eq!(accounts.assign_key(KeyDigest::of(&key), &account).is_ok(), is_free);
             map.entry(key).or_insert(name);
         }
-        prop_assert_eq!(accounts.keys(), map.len());
+        prop_assert_eq!(accounts.key_count(), map.len());
         for key in asked.iter().chain(map.keys()) {
             let holder = accounts.holder(&KeyDigest::of(key));
             let holder = holder.map(|account| account.name.to_string());
--- a/components/daemon/src/callers/admission.rs
+++ b/components/daemon/src/callers/admission.rs
@@ -3,7 +3,7 @@
 use super::request::CallerRequest;
 use crate::links;
 use crate::node::Node;
-use accounts::{Account, Barred, Presented, Proof};
+use accounts::{Account, Credential, DenyReason, Freshness};
 use async_std::task;
 use audit::stats;
 use home::{Reason, Refusal};
@@ -28,7 +28,7 @@
     in_force: &InForce,
     call: &CallerRequest,
     is_open: bool,
-    proof: Proof,
+    proof: Freshness,
 ) -> Result<Option<Arc<Account>>, Refusal> {
     let accounts = &in_force.declarations.accounts;
     let found = accounts::identify(accounts, presented(in_force, call), is_open, proof);
@@ -41,12 +41,12 @@
 }
 
 /// A key goes before what the identity of the request says.
-fn presented(in_force: &InForce, call: &CallerRequest) -> Presented {
+fn presented(in_force: &InForce, call: &CallerRequest) -> Credential {
     if let Some(digest) = call.account_key {
-        return Presented::Key(digest);
+        return Credential::Key(digest);
     }
     let Some(parent) = &call.parent else {
-        return Presented::Nothing;
+        return Credential::Missing;
     };
     let accounts = &in_force.declarations.accounts;
     let account = parent.account.as_ref().map(|name| {
@@ -60,16 +60,16 @@
             })
         })
     });
-    Presented::Call(account)
+    Credential::Inherited(account)
 }
 
-fn refusal(barred: Barred) -> Refusal {
+fn refusal(barred: DenyReason) -> Refusal {
     match barred {
-        Barred::NoKey | Barred::UnknownKey => Refusal {
+        DenyReason::NoKey | DenyReason::UnknownKey => Refusal {
             reason: Reason::Key,
             retry_after_ms: 0,
         },
-        Barred::Unproved => Refusal {
+        DenyReason::StaleKeys => Refusal {
             reason: Reason::StaleKeys,
             retry_after_ms: UNPROVED_RETRY_MS,
         },
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -12,7 +12,7 @@
 use crate::registration;
 use crate::relay::{self, Relay};
 use crate::watching;
-use accounts::{Account, Proof, MOST_PRIORITY};
+use accounts::{Account, Freshness, MAX_PRIORITY};
 use audit::stats::{self, Stage};
 use audit::Routed;
 use declarations::{Route, Service};
@@ -41,7 +41,7 @@
 /// Steps between the priorities of two accounts: all those of routes lie between them.
 const ACCOUNT_STEP: u8 = 10;
 /// What is added for calls where requests have accounts.
-const INNER_PRIORITY_OF_ACCOUNTS: u8 = ACCOUNT_STEP * (MOST_PRIORITY + 1);
+const INNER_PRIORITY_OF_ACCOUNTS: u8 = ACCOUNT_STEP * (MAX_PRIORITY + 1);
 /// Headers that begin so are this program's own and are not passed on.
 const PREFIX: &str = "drumwheel-";
 /// Upstreams that may see a request of a policy that lets it run once: one that turns it away unrun may
@@ -266,11 +266,11 @@
 }
 
 /// How new what is known of accounts is, and must be.
-fn proof(node: &Node) -> Proof {
+fn proof(node: &Node) -> Freshness {
     let bound_ms = node.cfg.accounts.withdrawn_within_ms;
-    Proof {
+    Freshness {
         age_us: node.watch.borrow().age_us(node.now()),
-        withdrawn_within_us: bound_ms.map(|ms| ms * MILLISECOND),
+        max_age_us: bound_ms.map(|ms| ms * MILLISECOND),
     }
 }
 
--- a/components/declarations/src/check_accounts.rs
+++ b/components/declarations/src/check_accounts.rs
@@ -1,7 +1,7 @@
 //! The check of client accounts.
 
 use crate::model::Declarations;
-use accounts::{Account, HeldTwice, KeyDigest, Limit, MOST_PRIORITY};
+use accounts::{Account, DuplicateKey, KeyDigest, Limit, MAX_PRIORITY};
 use names::Name;
 use sections::Reader;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 }
 
 fn read_account(reader: &mut Reader, section: &str, name: &str) -> Account {
-    let most = u64::from(MOST_PRIORITY);
+    let most = u64::from(MAX_PRIORITY);
     let priority = reader.number_or(section, "priority", 0..=most, 0) as u8;
     let requests_per_s = reader.number_or(section, "requests_per_s", 0..=MOST_REQUESTS, 0) as u32;
     let burst = reader.number_or(section, "burst", 0..=MOST_REQUESTS, 0) as u32;
@@ -53,8 +53,8 @@
             reader.problem(section, "keys", HIDDEN, &format!("each must be {KEYS}"));
             continue;
         };
-        if let Err(HeldTwice { by }) = declarations.accounts.give(digest, account) {
-            let allowed = format!("a key is held already by account {by}");
+        if let Err(DuplicateKey { holder }) = declarations.accounts.assign_key(digest, account) {
+            let allowed = format!("a key is held already by account {holder}");
             reader.problem(section, "keys", HIDDEN, &allowed);
         }
     }
