--- a/components/budget/src/gate.rs
+++ b/components/budget/src/gate.rs
@@ -27,7 +27,7 @@
     /// Slot time it may occupy at an upstream, in microseconds.
     pub slot_us: u32,
     /// Questions to an upstream about itself.
-    pub looks: u32,
+    pub probes: u32,
 }
 
 impl Act {
@@ -35,20 +35,20 @@
     pub const HEARTBEAT: Act = Act {
         messages: 2,
         slot_us: 0,
-        looks: 0,
+        probes: 0,
     };
     /// A look at what the upstream beside the node says of itself, over a connection that stays open.
     /// It leaves the VM's own network alone, so it has a budget apart from messages.
-    pub const LOOK: Act = Act {
+    pub const PROBE: Act = Act {
         messages: 0,
         slot_us: 0,
-        looks: 1,
+        probes: 1,
     };
     /// A connection to an upstream that is opened and closed.
     pub const CONNECT: Act = Act {
         messages: 2,
         slot_us: 0,
-        looks: 0,
+        probes: 0,
     };
 }
 
@@ -60,7 +60,7 @@
     /// Slot time spent, in microseconds.
     pub slot_us: u64,
     /// Looks at the upstream beside this node.
-    pub looks: u64,
+    pub probes: u64,
     /// Acts refused.
     pub refused: u64,
 }
@@ -73,10 +73,10 @@
     messages: f64,
     slot_us: f64,
     /// Looks at the upstream allowed per second.
-    looks_per_s: f64,
-    looks: f64,
+    probes_per_s: f64,
+    probes: f64,
     filled: Moment,
-    allowed_looks: f64,
+    allowed_probes: f64,
     allowed_messages: f64,
     allowed_slot_us: f64,
     spent: Spent,
@@ -90,10 +90,10 @@
             nodes: 1,
             messages: 0.0,
             slot_us: 0.0,
-            looks_per_s: 0.0,
-            looks: 0.0,
+            probes_per_s: 0.0,
+            probes: 0.0,
             filled: now,
-            allowed_looks: 0.0,
+            allowed_probes: 0.0,
             allowed_messages: 0.0,
             allowed_slot_us: 0.0,
             spent: Spent::default(),
@@ -101,16 +101,16 @@
     }
 
     /// Takes in the hall's budget and the number of nodes that share it.
-    pub fn set(&mut self, now: Moment, hall: HallBudget, nodes: u32) {
+    pub fn set_hall_budget(&mut self, now: Moment, hall: HallBudget, nodes: u32) {
         self.fill(now);
         self.hall = hall;
         self.nodes = nodes.max(1);
     }
 
-    /// Takes in how many looks per second at the upstream beside this node are allowed.
-    pub fn set_looks(&mut self, now: Moment, per_s: f64) {
+    /// Takes in how many probes per second at the upstream beside this node are allowed.
+    pub fn set_probe_rate(&mut self, now: Moment, per_s: f64) {
         self.fill(now);
-        self.looks_per_s = per_s;
+        self.probes_per_s = per_s;
     }
 
     /// Spends the cost of `act`, or refuses it. This is the only way to measure anything.
@@ -118,15 +118,15 @@
         self.fill(now);
         let messages = act.messages as f64;
         let slot_us = act.slot_us as f64;
-        let looks = act.looks as f64;
-        if self.messages < messages || self.slot_us < slot_us || self.looks < looks {
+        let probes = act.probes as f64;
+        if self.messages < messages || self.slot_us < slot_us || self.probes < probes {
             self.spent.refused += 1;
             return false;
         }
         self.messages -= messages;
         self.slot_us -= slot_us;
-        self.looks -= looks;
-        self.spent.looks += act.looks as u64;
+        self.probes -= probes;
+        self.spent.probes += act.probes as u64;
         self.spent.messages += act.messages as u64;
         self.spent.slot_us += act.slot_us as u64;
         self.check();
@@ -148,13 +148,13 @@
         let saved = SAVED_US as f64 / SECOND as f64;
         self.allowed_messages += messages_rate * elapsed;
         self.allowed_slot_us += slot_rate * elapsed;
-        self.allowed_looks += self.looks_per_s * elapsed;
-        let most_looks = (self.looks_per_s * saved).max(Act::LOOK.looks as f64);
-        self.looks = (self.looks + self.looks_per_s * elapsed).min(most_looks);
-        let most_messages = (messages_rate * saved).max(Act::HEARTBEAT.messages as f64);
-        self.messages = (self.messages + messages_rate * elapsed).min(most_messages);
-        let most_slot_us = (slot_rate * saved).max(LARGEST_ACT_SLOT_US);
-        self.slot_us = (self.slot_us + slot_rate * elapsed).min(most_slot_us);
+        self.allowed_probes += self.probes_per_s * elapsed;
+        let max_probes = (self.probes_per_s * saved).max(Act::PROBE.probes as f64);
+        self.probes = (self.probes + self.probes_per_s * elapsed).min(max_probes);
+        let max_messages = (messages_rate * saved).max(Act::HEARTBEAT.messages as f64);
+        self.messages = (self.messages + messages_rate * elapsed).min(max_messages);
+        let max_slot_us = (slot_rate * saved).max(LARGEST_ACT_SLOT_US);
+        self.slot_us = (self.slot_us + slot_rate * elapsed).min(max_slot_us);
     }
 
     /// The invariant: never more spent than the share allowed since the start.
@@ -162,7 +162,7 @@
         assert!(
             self.spent.messages as f64 <= self.allowed_messages + 1e-6
                 && self.spent.slot_us as f64 <= self.allowed_slot_us + 1e-6
-                && self.spent.looks as f64 <= self.allowed_looks + 1e-6,
+                && self.spent.probes as f64 <= self.allowed_probes + 1e-6,
             "more was spent on measuring than the budget allows"
         );
     }
--- a/components/budget/tests/gate.rs
+++ b/components/budget/tests/gate.rs
@@ -39,7 +39,7 @@
         let mut now = Moment(1);
         let mut gates: Vec<Gate> = (0..4).map(|_| Gate::new(now)).collect();
         for gate in &mut gates {
-            gate.set(now, hall, 4);
+            gate.set_hall_budget(now, hall, 4);
         }
         for step in steps {
             let count = gates.len();
@@ -49,18 +49,18 @@
                     gate.spend(now, Act {
                         messages,
                         slot_us,
-                        looks: 0,
+                        probes: 0,
                     });
                 }
                 Step::Pass(us) => now = now + us,
                 Step::Know(node, behind) => {
                     let least = (count as u32).div_ceil(2);
                     let known = (count as u32).saturating_sub(behind).max(least);
-                    gates[node % count].set(now, hall, known);
+                    gates[node % count].set_hall_budget(now, hall, known);
                 }
                 Step::Join if count < 8 => {
                     let mut gate = Gate::new(now);
-                    gate.set(now, hall, count as u32 + 1);
+                    gate.set_hall_budget(now, hall, count as u32 + 1);
                     gates.push(gate);
                 }
                 Step::Join => {}
@@ -77,7 +77,7 @@
 #[test]
 fn nothing_is_spent_on_a_budget_of_zero() {
     let mut gate = Gate::new(Moment(1));
-    gate.set(Moment(1), HallBudget::default(), 1);
+    gate.set_hall_budget(Moment(1), HallBudget::default(), 1);
     assert!(!gate.spend(Moment(1_000 * SECOND), Act::HEARTBEAT));
     assert_eq!(gate.spent().refused, 1);
 }
@@ -89,7 +89,7 @@
         messages_per_s: 40.0,
         slot_us_per_s: 0.0,
     };
-    gate.set(Moment(1), hall, 1);
+    gate.set_hall_budget(Moment(1), hall, 1);
     let later = Moment(3_600 * SECOND);
     let spent = (0..1_000)
         .filter(|_| gate.spend(later, Act::HEARTBEAT))
@@ -104,7 +104,7 @@
         messages_per_s: 0.1,
         slot_us_per_s: 0.0,
     };
-    gate.set(Moment(1), hall, 1);
+    gate.set_hall_budget(Moment(1), hall, 1);
     let spent = (1..=1_000)
         .filter(|second| gate.spend(Moment(second * SECOND), Act::HEARTBEAT))
         .count();
--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -140,7 +140,7 @@
         messages_per_s: 60.0,
         slot_us_per_s: 0.0,
     };
-    gate.set(Moment(1), hall, 95);
+    gate.set_hall_budget(Moment(1), hall, 95);
     let mut now = Moment(1);
     c.bench_function("ask the measuring budget", |b| {
         b.iter(|| {
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -44,7 +44,7 @@
         return failed("no path to ask at is declared");
     };
     let now = node.now();
-    if !node.gate.borrow_mut().spend(now, Act::LOOK) {
+    if !node.gate.borrow_mut().spend(now, Act::PROBE) {
         stats::looked(Look::Refused);
         return ProbeResult::NoBudget;
     }
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -460,8 +460,8 @@
         }
         let now = self.now();
         let mut gate = self.gate.borrow_mut();
-        gate.set(now, hall, nodes);
-        gate.set_looks(now, f64::from(self.cfg.looks_per_s) * LOOKS_PART);
+        gate.set_hall_budget(now, hall, nodes);
+        gate.set_probe_rate(now, f64::from(self.cfg.looks_per_s) * LOOKS_PART);
     }
 }
 
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -277,7 +277,7 @@
         revisions_older: rollout.older,
         revisions_differ: rollout.differs,
         measuring_refused: spent.refused,
-        looks: spent.looks,
+        looks: spent.probes,
         probes_saved: counters.probes_saved,
         held: held(node),
         slow_phase_us: home
