--- a/components/daemon/src/callers/admission.rs
+++ b/components/daemon/src/callers/admission.rs
@@ -91,7 +91,7 @@
     };
     let refusal = match quotas.take(peers, account, deadline).await {
         Admission::Granted(token) => return Ok(Some(token)),
-        Admission::Over { wait_us } => Refusal {
+        Admission::OverLimit { wait_us } => Refusal {
             reason: Reason::OverLimit,
             retry_after_ms: wait_us.div_ceil(MILLISECOND),
         },
@@ -100,7 +100,7 @@
             retry_after_ms: UNPROVED_RETRY_MS,
         },
     };
-    let part = quotas.part(peers.now());
+    let part = quotas.share(peers.now());
     audit::over_limit(&call.id, &account.name, &refusal, part);
     Err(refusal)
 }
@@ -119,9 +119,9 @@
         let in_force = node.in_force();
         let has_limits =
             in_force.is_some_and(|in_force| in_force.declarations.accounts.has_limits());
-        let has_lent = has_limits && node.quotas.lend(&peers);
+        let has_lent = has_limits && node.quotas.renew_leases(&peers);
         if has_limits {
-            stats::set("drumwheel_quota_part", node.quotas.part(node.now()));
+            stats::set("drumwheel_quota_part", node.quotas.share(node.now()));
         }
         task::sleep(if has_lent { LEND_EVERY } else { LEND_FIRST }).await;
     }
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -146,7 +146,7 @@
         Frame::Quota(message) => {
             let in_force = node.in_force();
             let accounts = in_force.as_ref().map(|it| &it.declarations.accounts);
-            let answer = node.quotas.heard(node.now(), from, message, accounts);
+            let answer = node.quotas.on_message(node.now(), from, message, accounts);
             if let Some(answer) = answer {
                 reply.send(node, Frame::Quota(answer));
             }
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -191,34 +191,34 @@
         self.0.now()
     }
 
-    fn me(&self) -> Name {
+    fn own_vm(&self) -> Name {
         self.0.cfg.vm.clone()
     }
 
     fn nodes(&self) -> Vec<Name> {
         let Some(registration) = &self.0.registration else {
             let others = self.0.others().into_iter().map(|(vm, _)| vm);
-            return others.chain([self.me()]).collect();
+            return others.chain([self.own_vm()]).collect();
         };
         let fleet = registration.fleet.borrow();
         let staying = fleet.records().filter(|record| !record.is_gone());
         staying.map(|record| record.vm.clone()).collect()
     }
 
-    fn hall(&self) -> Vec<Name> {
-        let me = self.me();
+    fn in_hall(&self) -> Vec<Name> {
+        let me = self.own_vm();
         let mut nodes = quota::Peers::nodes(self);
         nodes.retain(|vm| *vm != me && self.0.hall_of(vm).as_ref() == Some(&self.0.cfg.hall));
         nodes
     }
 
-    fn near(&self) -> Vec<Name> {
+    fn connected_in_hall(&self) -> Vec<Name> {
         let near = self.0.others().into_iter();
         let near = near.filter(|(vm, same_hall)| *same_hall && is_up(&self.0, vm));
         near.map(|(vm, _)| vm).collect()
     }
 
-    fn is_up(&self, vm: &Name) -> bool {
+    fn is_connected(&self, vm: &Name) -> bool {
         is_up(&self.0, vm)
     }
 
@@ -435,7 +435,7 @@
             let confirmed_us_ago = summary.confirmed_us_ago;
             summary.confirmed_us_ago = confirmed_us_ago.map(|us| us.saturating_add(late_us));
         }
-        Frame::Quota(message) => message.age(late_us),
+        Frame::Quota(message) => message.subtract_delay(late_us),
         _ => {}
     }
 }
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -244,7 +244,7 @@
     dial_contacts(&node, &registration).await;
     // First those without which no request of a limited account is let through. Telling the record connects to the whole
     // hall.
-    for vm in Quotas::collectors(&links::Peers(node.clone())) {
+    for vm in Quotas::token_holders(&links::Peers(node.clone())) {
         links::dial(&node, &vm);
     }
     if registration.announcement_deferred.take() {
--- a/components/quota/src/collector.rs
+++ b/components/quota/src/collector.rs
@@ -14,7 +14,7 @@
 
 /// There is no token now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Short {
+pub struct NoToken {
     /// When there is one, in microseconds from now; none while this node holds no share.
     pub wait_us: Option<u64>,
 }
@@ -28,7 +28,7 @@
 
 /// The tokens at one node.
 #[derive(Debug)]
-pub struct Collector {
+pub struct TokenHolder {
     bounds: Bounds,
     shares: HashMap<Name, Share>,
     /// Sum of the shares.
@@ -43,10 +43,10 @@
     buckets: HashMap<Name, Bucket>,
 }
 
-impl Collector {
+impl TokenHolder {
     /// A node to which nothing is lent.
-    pub fn new(bounds: Bounds) -> Collector {
-        Collector {
+    pub fn new(bounds: Bounds) -> TokenHolder {
+        TokenHolder {
             bounds,
             shares: HashMap::new(),
             part: 0.0,
@@ -59,16 +59,16 @@
     }
 
     /// This node has started again at `now`.
-    pub fn starts_again(&mut self, now: Moment) {
+    pub fn restarted(&mut self, now: Moment) {
         self.starts_until = now + STARTS_US;
     }
 
-    /// `from` lends its `part` of every limit for `lasts_us`, in place of what it lent before.
-    pub fn lent(&mut self, now: Moment, from: &Name, part: f64, lasts_us: u64) {
+    /// `from` lends its `part` of every limit for `duration_us`, in place of what it lent before.
+    pub fn add_lease(&mut self, now: Moment, from: &Name, part: f64, duration_us: u64) {
         self.advance(now);
         let share = Share {
             part: part.clamp(0.0, 1.0),
-            until: now + lasts_us,
+            until: now + duration_us,
         };
         self.shares.insert(from.clone(), share);
         self.shares_changed();
@@ -78,12 +78,12 @@
     }
 
     /// Takes a token of an account.
-    pub fn take(&mut self, now: Moment, account: &Name, limit: Limit) -> Result<(), Short> {
+    pub fn take(&mut self, now: Moment, account: &Name, limit: Limit) -> Result<(), NoToken> {
         self.advance(now);
         let (bounds, held_s, part) = (self.bounds, self.held_s, self.part);
         let started = self.started;
         let Some(bucket) = self.bucket(account, limit) else {
-            return Err(Short { wait_us: None });
+            return Err(NoToken { wait_us: None });
         };
         bucket.settle(bounds, held_s, part, started);
         bucket.set_limit(limit);
@@ -91,7 +91,7 @@
         bucket.take(bounds).map_err(|share_s| {
             let wait_us = share_s / part * SECOND as f64;
             let wait_us = wait_us.is_finite().then_some(wait_us as u64);
-            Short { wait_us }
+            NoToken { wait_us }
         })
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// The part of every limit that is lent to this node now.
-    pub fn part(&mut self, now: Moment) -> f64 {
+    pub fn share(&mut self, now: Moment) -> f64 {
         self.advance(now);
         self.part
     }
--- a/components/quota/src/message.rs
+++ b/components/quota/src/message.rs
@@ -7,16 +7,18 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The sender lends its part of every limit.
-    Lend {
+    #[serde(rename = "Lend")]
+    LeaseGranted {
         /// The part.
         #[serde(rename = "p")]
-        part: f64,
+        share: f64,
         /// For how long, in microseconds.
         #[serde(rename = "t")]
-        lasts_us: u64,
+        duration_us: u64,
     },
     /// The sender wants a token.
-    Take {
+    #[serde(rename = "Take")]
+    TokenRequest {
         /// Identity of the question.
         #[serde(rename = "i")]
         id: u64,
@@ -24,8 +26,9 @@
         #[serde(rename = "a")]
         account: Name,
     },
-    /// The answer to [`Message::Take`].
-    Taken {
+    /// The answer to [`Message::TokenRequest`].
+    #[serde(rename = "Taken")]
+    TokenReply {
         /// Identity of the question.
         #[serde(rename = "i")]
         id: u64,
@@ -34,7 +37,8 @@
         answer: Answer,
     },
     /// A token was not used.
-    GiveBack {
+    #[serde(rename = "GiveBack")]
+    TokenReturned {
         /// Of this account.
         #[serde(rename = "a")]
         account: Name,
@@ -43,9 +47,9 @@
 
 impl Message {
     /// Takes the time that a message spent waiting on its way off the time that it grants.
-    pub fn age(&mut self, late_us: u64) {
-        if let Message::Lend { lasts_us, .. } = self {
-            *lasts_us = lasts_us.saturating_sub(late_us);
+    pub fn subtract_delay(&mut self, delay_us: u64) {
+        if let Message::LeaseGranted { duration_us, .. } = self {
+            *duration_us = duration_us.saturating_sub(delay_us);
         }
     }
 }
@@ -56,7 +60,8 @@
     /// Here it is.
     Granted,
     /// There is none.
-    Short {
+    #[serde(rename = "Short")]
+    NoToken {
         /// When there is one, in microseconds; none when it isn't known.
         #[serde(rename = "w")]
         wait_us: Option<u64>,
--- a/components/quota/src/quotas.rs
+++ b/components/quota/src/quotas.rs
@@ -1,8 +1,8 @@
 //! The duty of one node: lends its share, keeps what is lent to it, and takes tokens for its callers.
 
 use crate::bounds::Bounds;
-use crate::collector::{Collector, Short};
-use crate::lender::{Lender, COLLECTORS, JOIN_US};
+use crate::collector::{NoToken, TokenHolder};
+use crate::lender::{LeaseGranter, JOIN_DELAY_US, TOKEN_HOLDERS};
 use crate::message::{Answer, Message};
 use accounts::{Account, Accounts};
 use async_channel::Sender;
@@ -27,14 +27,14 @@
 /// its hall before: what it lent to others meanwhile could not be lent to them until the lease has lapsed.
 const CONNECT_US: u64 = 1_500 * MILLISECOND;
 /// After this time, in microseconds, connections to half of the hall are enough: its collectors may have ended.
-const COLLECTORS_WAIT_US: u64 = 300 * MILLISECOND;
-/// Callers of a node that has just started wait for its first loan so long at most, in microseconds, and not beyond
+const HOLDERS_TIMEOUT_US: u64 = 300 * MILLISECOND;
+/// Callers of a node that has just started wait for its first lease so long at most, in microseconds, and not beyond
 /// [`CONNECT_US`].
-const FIRST_LOAN_WAIT_US: u64 = 300 * MILLISECOND;
+const FIRST_LEASE_TIMEOUT_US: u64 = 300 * MILLISECOND;
 /// They wait for so great a part of the time that they have left, at most: what remains is enough for most runs.
-const FIRST_LOAN_WAIT_PART: u64 = 4;
+const FIRST_LEASE_WAIT_DIVISOR: u64 = 4;
 /// Time between two looks for it.
-const FIRST_LOAN_LOOK: Duration = Duration::from_millis(10);
+const FIRST_LEASE_POLL: Duration = Duration::from_millis(10);
 /// What the places of collectors are drawn for.
 const TOPIC: &str = "quota";
 
@@ -43,15 +43,15 @@
     /// The present moment.
     fn now(&self) -> Moment;
     /// This node's VM.
-    fn me(&self) -> Name;
+    fn own_vm(&self) -> Name;
     /// The nodes that are known, this one included; those that are about to go with their VM excepted.
     fn nodes(&self) -> Vec<Name>;
     /// The other nodes of this hall that are known.
-    fn hall(&self) -> Vec<Name>;
+    fn in_hall(&self) -> Vec<Name>;
     /// The nodes of this hall to which a connection is open.
-    fn near(&self) -> Vec<Name>;
+    fn connected_in_hall(&self) -> Vec<Name>;
     /// Whether a connection to a node is open.
-    fn is_up(&self, vm: &Name) -> bool;
+    fn is_connected(&self, vm: &Name) -> bool;
     /// Sends a message.
     fn send(&self, to: &Name, message: Message);
 }
@@ -71,7 +71,7 @@
     /// It does.
     Granted(Token),
     /// The account has used up its limit.
-    Over {
+    OverLimit {
         /// When there is a token again, in microseconds.
         wait_us: u64,
     },
@@ -83,8 +83,8 @@
 #[derive(Debug)]
 pub struct Quotas {
     started: Moment,
-    lender: RefCell<Lender>,
-    collector: RefCell<Collector>,
+    lender: RefCell<LeaseGranter>,
+    collector: RefCell<TokenHolder>,
     /// Whether anything was lent so far.
     has_lent: Cell<bool>,
     /// When a token was first asked for.
@@ -102,8 +102,8 @@
     pub fn new(bounds: Bounds, started: Moment) -> Quotas {
         Quotas {
             started,
-            lender: RefCell::new(Lender::new(started + JOIN_US)),
-            collector: RefCell::new(Collector::new(bounds)),
+            lender: RefCell::new(LeaseGranter::new(started + JOIN_DELAY_US)),
+            collector: RefCell::new(TokenHolder::new(bounds)),
             has_lent: Cell::new(false),
             first_asked: Cell::new(None),
             counted: RefCell::default(),
@@ -115,34 +115,34 @@
 
     /// This node follows another start on its VM, which the others have counted for long.
     pub fn restarted(&self) {
-        self.lender.borrow_mut().owns_at_once();
+        self.lender.borrow_mut().own_share_now();
         let mut collector = self.collector.borrow_mut();
-        collector.starts_again(self.started);
+        collector.restarted(self.started);
     }
 
     /// Lends this node's share for a further while. Returns whether it has lent anything so far.
-    pub fn lend(&self, peers: &impl Peers) -> bool {
+    pub fn renew_leases(&self, peers: &impl Peers) -> bool {
         let now = peers.now();
-        if !self.has_lent.get() && !self.is_connected(peers) {
+        if !self.has_lent.get() && !self.may_grant(peers) {
             return false;
         }
-        let me = peers.me();
+        let me = peers.own_vm();
         let nodes = peers.nodes();
-        let ranked = ranked(peers, peers.near());
+        let ranked = ranked(peers, peers.connected_in_hall());
         let mut lender = self.lender.borrow_mut();
         if !nodes.contains(&me) {
-            lender.leaves(now);
+            lender.on_departure(now);
         }
-        let loans = lender.step(now, self.count(now, nodes), &ranked);
+        let leases = lender.renew(now, self.count(now, nodes), &ranked);
         drop(lender);
         self.has_lent.set(true);
         self.short.borrow_mut().retain(|_, until| now < *until);
-        for loan in loans {
-            let (part, lasts_us) = (loan.part, loan.lasts_us);
-            if loan.to == me {
-                self.lent(now, &me, part, lasts_us);
+        for lease in leases {
+            let (share, duration_us) = (lease.share, lease.duration_us);
+            if lease.to == me {
+                self.lent(now, &me, share, duration_us);
             } else {
-                peers.send(&loan.to, Message::Lend { part, lasts_us });
+                peers.send(&lease.to, Message::LeaseGranted { share, duration_us });
             }
         }
         self.has_lent.get()
@@ -157,30 +157,32 @@
     }
 
     /// Whether this node, which has just started, reaches those to whom it would lend if it reached all.
-    fn is_connected(&self, peers: &impl Peers) -> bool {
+    fn may_grant(&self, peers: &impl Peers) -> bool {
         let now = peers.now();
-        let hall = peers.hall();
-        let reaches_half = 2 * peers.near().len() >= hall.len();
-        let may_have_ended = now >= self.started + COLLECTORS_WAIT_US;
-        Self::collectors(peers).iter().all(|vm| peers.is_up(vm))
+        let hall = peers.in_hall();
+        let reaches_half = 2 * peers.connected_in_hall().len() >= hall.len();
+        let may_have_ended = now >= self.started + HOLDERS_TIMEOUT_US;
+        Self::token_holders(peers)
+            .iter()
+            .all(|vm| peers.is_connected(vm))
             || reaches_half && may_have_ended
             || now >= self.started + CONNECT_US
     }
 
     /// The part of every limit that this node keeps tokens for now.
-    pub fn part(&self, now: Moment) -> f64 {
-        self.collector.borrow_mut().part(now)
+    pub fn share(&self, now: Moment) -> f64 {
+        self.collector.borrow_mut().share(now)
     }
 
     /// Takes a token for a request whose caller waits until `deadline`.
     pub async fn take(&self, peers: &impl Peers, account: &Account, deadline: Moment) -> Admission {
         let now = peers.now();
-        let callers_part = now + deadline.since(now) / FIRST_LOAN_WAIT_PART;
-        let until = self.first_loan_by(now).min(callers_part);
+        let callers_part = now + deadline.since(now) / FIRST_LEASE_WAIT_DIVISOR;
+        let until = self.first_lease_deadline(now).min(callers_part);
         while !self.has_lent.get() && peers.now() < until {
-            task::sleep(FIRST_LOAN_LOOK).await;
+            task::sleep(FIRST_LEASE_POLL).await;
         }
-        let asked = self.lender.borrow().asked(&account.name);
+        let asked = self.lender.borrow().holders_for(&account.name);
         let mut soonest_us: Option<u64> = None;
         for from in asked {
             let answer = self.ask(peers, &from, account).await;
@@ -189,7 +191,7 @@
                     let account = account.name.clone();
                     return Admission::Granted(Token { account, from });
                 }
-                Answer::Short { wait_us } => {
+                Answer::NoToken { wait_us } => {
                     let known = soonest_us.into_iter().chain(wait_us);
                     soonest_us = known.min();
                 }
@@ -197,39 +199,41 @@
             }
         }
         match soonest_us {
-            Some(wait_us) => Admission::Over { wait_us },
+            Some(wait_us) => Admission::OverLimit { wait_us },
             None => Admission::Unanswered,
         }
     }
 
-    /// Until when callers wait for the first loan. A node brings its declarations into force before it connects to its
+    /// Until when callers wait for the first lease. A node brings its declarations into force before it connects to its
     /// hall, so the time runs from the first token that is asked for.
-    fn first_loan_by(&self, now: Moment) -> Moment {
+    fn first_lease_deadline(&self, now: Moment) -> Moment {
         let first_asked = self.first_asked.get().unwrap_or(now);
         self.first_asked.set(Some(first_asked));
         let latest = self.started + CONNECT_US;
-        latest.min(first_asked + FIRST_LOAN_WAIT_US)
+        latest.min(first_asked + FIRST_LEASE_TIMEOUT_US)
     }
 
     /// The nodes to which this one would lend if it were connected to its whole hall.
-    pub fn collectors(peers: &impl Peers) -> Vec<Name> {
-        let collectors = ranked(peers, peers.hall()).into_iter().take(COLLECTORS);
-        collectors.filter(|vm| *vm != peers.me()).collect()
+    pub fn token_holders(peers: &impl Peers) -> Vec<Name> {
+        let collectors = ranked(peers, peers.in_hall())
+            .into_iter()
+            .take(TOKEN_HOLDERS);
+        collectors.filter(|vm| *vm != peers.own_vm()).collect()
     }
 
     /// Gives a token back whose request has not run and never will.
     pub fn give_back(&self, peers: &impl Peers, token: Token) {
         let Token { account, from } = token;
-        if from == peers.me() {
+        if from == peers.own_vm() {
             let now = peers.now();
             self.collector.borrow_mut().give_back(now, &account);
-        } else if peers.is_up(&from) {
-            peers.send(&from, Message::GiveBack { account });
+        } else if peers.is_connected(&from) {
+            peers.send(&from, Message::TokenReturned { account });
         }
     }
 
     /// Takes in a message of another node; what is to be answered, if anything.
-    pub fn heard(
+    pub fn on_message(
         &self,
         now: Moment,
         from: &Name,
@@ -237,28 +241,30 @@
         accounts: Option<&Accounts>,
     ) -> Option<Message> {
         match message {
-            Message::Lend { part, lasts_us } => self.lent(now, from, part, lasts_us),
-            Message::Take { id, account } => {
+            Message::LeaseGranted { share, duration_us } => {
+                self.lent(now, from, share, duration_us)
+            }
+            Message::TokenRequest { id, account } => {
                 let account = accounts.and_then(|accounts| accounts.get(account.as_str()));
                 let answer = self.answer(now, account.map(AsRef::as_ref));
-                return Some(Message::Taken { id, answer });
+                return Some(Message::TokenReply { id, answer });
             }
-            Message::Taken { id, answer } => {
+            Message::TokenReply { id, answer } => {
                 if let Some(tx) = self.waiting.borrow_mut().remove(&id) {
                     // Who waited may have given up.
                     tx.try_send(answer).ok();
                 }
             }
-            Message::GiveBack { account } => {
+            Message::TokenReturned { account } => {
                 self.collector.borrow_mut().give_back(now, &account);
             }
         }
         None
     }
 
-    fn lent(&self, now: Moment, from: &Name, part: f64, lasts_us: u64) {
+    fn lent(&self, now: Moment, from: &Name, share: f64, duration_us: u64) {
         let mut collector = self.collector.borrow_mut();
-        collector.lent(now, from, part, lasts_us);
+        collector.add_lease(now, from, share, duration_us);
     }
 
     fn answer(&self, now: Moment, account: Option<&Account>) -> Answer {
@@ -268,7 +274,7 @@
         };
         match self.collector.borrow_mut().take(now, name, limit) {
             Ok(()) => Answer::Granted,
-            Err(Short { wait_us }) => Answer::Short { wait_us },
+            Err(NoToken { wait_us }) => Answer::NoToken { wait_us },
         }
     }
 
@@ -280,16 +286,16 @@
         let until = self.short.borrow().get(&place).copied();
         if let Some(until) = until.filter(|until| now < *until) {
             let wait_us = Some(until.since(now));
-            return Answer::Short { wait_us };
+            return Answer::NoToken { wait_us };
         }
-        let answer = if *from == peers.me() {
+        let answer = if *from == peers.own_vm() {
             self.answer(now, Some(account))
-        } else if peers.is_up(from) {
+        } else if peers.is_connected(from) {
             self.ask_peer(peers, from, account).await
         } else {
             Answer::Unknown
         };
-        if let Answer::Short { wait_us } = answer {
+        if let Answer::NoToken { wait_us } = answer {
             let rest_us = wait_us.unwrap_or(UNLENT_REST_US).min(MOST_REST_US);
             let until = peers.now() + rest_us;
             self.short.borrow_mut().insert(place, until);
@@ -303,7 +309,7 @@
         let (tx, rx) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(id, tx);
         let account = account.name.clone();
-        peers.send(from, Message::Take { id, account });
+        peers.send(from, Message::TokenRequest { id, account });
         let answer = timeout(PATIENCE, rx.recv()).await;
         self.waiting.borrow_mut().remove(&id);
         match answer {
@@ -316,7 +322,7 @@
 /// These nodes and this one, in an order on which all agree.
 fn ranked(peers: &impl Peers, others: Vec<Name>) -> Vec<Name> {
     let mut ranked = others;
-    ranked.push(peers.me());
+    ranked.push(peers.own_vm());
     ranked.sort_by_cached_key(|vm| rendezvous(TOPIC, vm));
     ranked.dedup();
     ranked
--- a/components/quota/tests/first_loan.rs
+++ b/components/quota/tests/first_loan.rs
@@ -1,7 +1,7 @@
 //! Callers of limited accounts at a node that has just started.
 //!
 //! The load: all nodes start at once with a large set. Their declarations were in force after the 0.3 s from the start in which
-//! callers waited for the first loan, so that all were refused as `limit-unknown` until it came.
+//! callers waited for the first lease, so that all were refused as `limit-unknown` until it came.
 
 use accounts::{Account, Limit};
 use async_std::task::block_on;
@@ -19,23 +19,23 @@
         now
     }
 
-    fn me(&self) -> Name {
+    fn own_vm(&self) -> Name {
         Name::from("vm-0")
     }
 
     fn nodes(&self) -> Vec<Name> {
-        vec![self.me()]
+        vec![self.own_vm()]
     }
 
-    fn hall(&self) -> Vec<Name> {
+    fn in_hall(&self) -> Vec<Name> {
         ["vm-1", "vm-2", "vm-3"].map(Name::from).to_vec()
     }
 
-    fn near(&self) -> Vec<Name> {
+    fn connected_in_hall(&self) -> Vec<Name> {
         Vec::new()
     }
 
-    fn is_up(&self, _: &Name) -> bool {
+    fn is_connected(&self, _: &Name) -> bool {
         false
     }
 
@@ -80,7 +80,7 @@
     let next = waited_us(&quotas, &peers);
     assert!(
         next < 100 * MILLISECOND,
-        "all wait for the same loan: {next}"
+        "all wait for the same lease: {next}"
     );
 }
 
@@ -98,7 +98,7 @@
     assert!(waited < 200 * MILLISECOND, "{waited}");
 }
 
-/// Guards against a caller that waits for the first loan until it has no time left for its run.
+/// Guards against a caller that waits for the first lease until it has no time left for its run.
 #[test]
 fn a_caller_waits_for_the_first_loan_for_a_quarter_of_its_time_at_most() {
     let (quotas, peers) = (started(), Alone(Cell::new(Moment(600 * MILLISECOND))));
--- a/components/quota/tests/shares.rs
+++ b/components/quota/tests/shares.rs
@@ -3,10 +3,10 @@
 use accounts::Limit;
 use names::{Moment, Name, MILLISECOND, SECOND};
 use proptest::prelude::*;
-use quota::{Bounds, Collector, Lender, Loan};
+use quota::{Bounds, Lease, LeaseGranter, TokenHolder};
 
 const STEP_US: u64 = 50 * MILLISECOND;
-/// Steps between two rounds of loans.
+/// Steps between two rounds of leases.
 const LEND_EVERY: u64 = 10;
 const WINDOW_US: u64 = 5 * SECOND;
 const BOUNDS: Bounds = Bounds {
@@ -15,10 +15,10 @@
     window_s: 5.0,
 };
 
-/// A loan on its way.
+/// A lease on its way.
 struct Sent {
     from: usize,
-    loan: Loan,
+    lease: Lease,
     arrives: Moment,
 }
 
@@ -26,8 +26,8 @@
 struct World {
     now: Moment,
     groups: Vec<usize>,
-    lenders: Vec<Lender>,
-    collectors: Vec<Collector>,
+    lenders: Vec<LeaseGranter>,
+    collectors: Vec<TokenHolder>,
     sent: Vec<Sent>,
     granted: Vec<Moment>,
 }
@@ -45,8 +45,8 @@
         World {
             now: Moment(SECOND),
             groups: vec![0; nodes],
-            lenders: (0..nodes).map(|_| Lender::new(Moment(0))).collect(),
-            collectors: (0..nodes).map(|_| Collector::new(BOUNDS)).collect(),
+            lenders: (0..nodes).map(|_| LeaseGranter::new(Moment(0))).collect(),
+            collectors: (0..nodes).map(|_| TokenHolder::new(BOUNDS)).collect(),
             sent: Vec::new(),
             granted: Vec::new(),
         }
@@ -57,11 +57,11 @@
         for from in 0..nodes {
             let near = (0..nodes).filter(|to| self.groups[*to] == self.groups[from]);
             let ranked: Vec<Name> = near.map(name).collect();
-            for loan in self.lenders[from].step(self.now, nodes, &ranked) {
+            for lease in self.lenders[from].renew(self.now, nodes, &ranked) {
                 let arrives = self.now + late_us;
                 self.sent.push(Sent {
                     from,
-                    loan,
+                    lease,
                     arrives,
                 });
             }
@@ -75,12 +75,12 @@
             .into_iter()
             .partition(|sent| sent.arrives <= now);
         self.sent = waiting;
-        for Sent { from, loan, .. } in arrived {
-            let to = (0..self.groups.len()).find(|to| name(*to) == loan.to);
+        for Sent { from, lease, .. } in arrived {
+            let to = (0..self.groups.len()).find(|to| name(*to) == lease.to);
             let to = to.expect("a node of this hall");
             if self.groups[to] == self.groups[from] {
-                let lasts_us = loan.lasts_us.saturating_sub(late_us);
-                self.collectors[to].lent(now, &name(from), loan.part, lasts_us);
+                let duration_us = lease.duration_us.saturating_sub(late_us);
+                self.collectors[to].add_lease(now, &name(from), lease.share, duration_us);
             }
         }
     }
@@ -89,7 +89,7 @@
     fn ask(&mut self, asks: u64, limit: Limit) {
         for node in 0..self.groups.len() {
             for _ in 0..asks {
-                let asked = self.lenders[node].asked(&account());
+                let asked = self.lenders[node].holders_for(&account());
                 let granted = asked.iter().any(|from| {
                     let from = (0..self.groups.len()).find(|to| name(*to) == *from);
                     let from = from.expect("a node of this hall");
@@ -109,10 +109,10 @@
         let nodes = self.groups.len();
         self.sent.clear();
         self.now = self.now + SECOND;
-        self.lenders = (0..nodes).map(|_| Lender::new(Moment(0))).collect();
-        self.collectors = (0..nodes).map(|_| Collector::new(BOUNDS)).collect();
+        self.lenders = (0..nodes).map(|_| LeaseGranter::new(Moment(0))).collect();
+        self.collectors = (0..nodes).map(|_| TokenHolder::new(BOUNDS)).collect();
         for collector in &mut self.collectors {
-            collector.starts_again(self.now);
+            collector.restarted(self.now);
         }
     }
 
@@ -227,8 +227,8 @@
         burst: 1,
     };
     let only = Name::from("only");
-    let mut collector = Collector::new(Bounds::default());
-    collector.lent(Moment(0), &only, 1.0, 100 * SECOND);
+    let mut collector = TokenHolder::new(Bounds::default());
+    collector.add_lease(Moment(0), &only, 1.0, 100 * SECOND);
     let now = Moment(50 * SECOND);
     assert!(collector.take(now, &account(), limit).is_ok());
     let short = collector.take(now, &account(), limit);
@@ -242,38 +242,43 @@
 
 #[test]
 fn a_share_counts_at_one_collector_at_a_time() {
-    let mut lender = Lender::new(Moment(0));
+    let mut lender = LeaseGranter::new(Moment(0));
     let [a, b, c] = ["a", "b", "c"].map(Name::from);
     let now = Moment(SECOND);
-    let first = lender.step(now, 10, &[a.clone(), b.clone()]);
-    let to = |loans: &[Loan]| loans.iter().map(|loan| loan.to.clone()).collect::<Vec<_>>();
+    let first = lender.renew(now, 10, &[a.clone(), b.clone()]);
+    let to = |leases: &[Lease]| {
+        leases
+            .iter()
+            .map(|lease| lease.to.clone())
+            .collect::<Vec<_>>()
+    };
     assert_eq!(to(&first), [a.clone(), b.clone()]);
-    assert_eq!(first[0].part, 0.05);
+    assert_eq!(first[0].share, 0.05);
     // `a` is gone: what was lent to it counts there until its lease has lapsed.
-    let soon = lender.step(now + SECOND, 10, &[b.clone(), c.clone()]);
+    let soon = lender.renew(now + SECOND, 10, &[b.clone(), c.clone()]);
     assert_eq!(to(&soon), std::slice::from_ref(&b));
-    let later = lender.step(now + 2 * SECOND, 10, &[b.clone(), c.clone()]);
+    let later = lender.renew(now + 2 * SECOND, 10, &[b.clone(), c.clone()]);
     assert_eq!(to(&later), [b, c]);
 }
 
 #[test]
 fn a_node_that_is_alone_keeps_its_own_share() {
-    let mut lender = Lender::new(Moment(0));
+    let mut lender = LeaseGranter::new(Moment(0));
     let me = Name::from("me");
-    let loans = lender.step(Moment(SECOND), 4, std::slice::from_ref(&me));
-    let parts: f64 = loans.iter().map(|loan| loan.part).sum();
+    let leases = lender.renew(Moment(SECOND), 4, std::slice::from_ref(&me));
+    let parts: f64 = leases.iter().map(|lease| lease.share).sum();
     assert_eq!(parts, 0.25);
-    assert_eq!(lender.asked(&account()), [me]);
+    assert_eq!(lender.holders_for(&account()), [me]);
 }
 
 #[test]
 fn a_vm_that_has_just_joined_owns_nothing() {
-    let mut lender = Lender::new(Moment(5 * SECOND));
+    let mut lender = LeaseGranter::new(Moment(5 * SECOND));
     let me = [Name::from("me")];
-    assert_eq!(lender.step(Moment(4 * SECOND), 4, &me), []);
+    assert_eq!(lender.renew(Moment(4 * SECOND), 4, &me), []);
     // It takes tokens all the same, of what others own.
-    assert_eq!(lender.asked(&account()), me);
-    assert_eq!(lender.step(Moment(5 * SECOND), 4, &me).len(), 1);
+    assert_eq!(lender.holders_for(&account()), me);
+    assert_eq!(lender.renew(Moment(5 * SECOND), 4, &me).len(), 1);
 }
 
 #[test]
@@ -303,12 +308,12 @@
 
 #[test]
 fn a_vm_that_goes_owns_nothing_any_more() {
-    let mut lender = Lender::new(Moment(0));
+    let mut lender = LeaseGranter::new(Moment(0));
     let me = [Name::from("me")];
     let now = Moment(SECOND);
-    assert_eq!(lender.step(now, 4, &me).len(), 1);
-    lender.leaves(now + SECOND);
-    assert_eq!(lender.step(now + SECOND, 4, &me), []);
-    assert_eq!(lender.step(now + 5 * SECOND, 4, &me), []);
-    assert_eq!(lender.step(now + 6 * SECOND, 4, &me).len(), 1);
+    assert_eq!(lender.renew(now, 4, &me).len(), 1);
+    lender.on_departure(now + SECOND);
+    assert_eq!(lender.renew(now + SECOND, 4, &me), []);
+    assert_eq!(lender.renew(now + 5 * SECOND, 4, &me), []);
+    assert_eq!(lender.renew(now + 6 * SECOND, 4, &me).len(), 1);
 }
