--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -86,7 +86,8 @@
 fn is_cold(node: &Node) -> bool {
     let now = node.now();
     let home = node.home.borrow();
-    home.as_ref().is_some_and(|home| home.cold().is_cold(now))
+    home.as_ref()
+        .is_some_and(|home| home.cold_limiter().is_cold(now))
 }
 
 /// What the upstream is told beside the request; `expected` is the start of it that is meant.
@@ -179,7 +180,7 @@
 /// at 295 VMs was nine in ten of the messages between nodes.
 fn slowness(node: &Rc<Node>, percent: u32) {
     let now = node.now();
-    let told = |home: &mut Home<Whole>| home.slowness_reported(now, percent);
+    let told = |home: &mut Home<Whole>| home.slowdown_reported(now, percent);
     let changed = node.home.borrow_mut().as_mut().is_some_and(told);
     if changed {
         pace_changed(node);
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -127,7 +127,7 @@
     stats::attempt_refused(refusal.reason.as_str());
     let now = node.now();
     if let Some(home) = node.home.borrow_mut().as_mut() {
-        home.ask(now, id, node.boot);
+        home.query(now, id, node.boot);
     }
     let load = node.load();
     reply.send(node, Frame::Refused { id, refusal, load });
@@ -140,7 +140,7 @@
         .home
         .borrow_mut()
         .as_mut()
-        .map_or(QueryReply::Forgotten, |home| home.ask(now, id, boot));
+        .map_or(QueryReply::Forgotten, |home| home.query(now, id, boot));
     if reply == QueryReply::Started {
         if let Some(job) = node.jobs.borrow_mut().get_mut(&id) {
             job.reply = route.clone();
@@ -203,7 +203,7 @@
         }
     }
     let now = node.now();
-    with_home(node, |home| home.replaced(now, run.slots, earlier));
+    with_home(node, |home| home.upstream_replaced(now, run.slots, earlier));
     cold_capacity_changed(node);
 }
 
@@ -251,7 +251,8 @@
     let left_us = || {
         let now = node.now();
         let home = node.home.borrow();
-        home.as_ref().map_or(0, |home| home.cold().left_us(now))
+        home.as_ref()
+            .map_or(0, |home| home.cold_limiter().left_us(now))
     };
     let before_us = left_us();
     take_in();
@@ -272,9 +273,9 @@
     tracing::info!(leaving, "the upstream's state changed");
     with_home(node, |home| {
         if leaving {
-            home.leave(now)
+            home.start_drain(now)
         } else {
-            home.stay();
+            home.end_drain();
             Vec::new()
         }
     });
@@ -346,10 +347,10 @@
     let now = node.now();
     let before = node.load().slow_percent;
     noting_cold(node, "look", || {
-        with_home(node, |home| home.probed(now, probed));
+        with_home(node, |home| home.probe_finished(now, probed));
     });
     let told = match probed {
-        ProbeResult::Told { percent, .. } => percent,
+        ProbeResult::Reported { percent, .. } => percent,
         _ => None,
     };
     if told.is_some_and(|percent| percent != before) {
@@ -421,7 +422,7 @@
     let caller_id = jobs.get(&id).map_or("-", |job| job.req.id.as_str());
     let now = node.now();
     let home = node.home.borrow();
-    let pace_age_us = home.as_ref().and_then(|home| home.pace().age_us(now));
+    let pace_age_us = home.as_ref().and_then(|home| home.slowdown().age_us(now));
     let load = home
         .as_ref()
         .map_or_else(Load::default, |home| home.load(now));
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -35,10 +35,10 @@
 
 async fn ask(node: &Rc<Node>) -> ProbeResult {
     let Some(registration) = node.registration.clone() else {
-        return ProbeResult::Nothing;
+        return ProbeResult::NoAnswer;
     };
     let Some(pool) = node.look_pool.clone() else {
-        return ProbeResult::Nothing;
+        return ProbeResult::NoAnswer;
     };
     let Some(req) = request(node, &registration) else {
         return failed("no path to ask at is declared");
@@ -100,7 +100,7 @@
         return failed("the answer names neither load nor cold");
     }
     stats::looked(Look::Answered);
-    ProbeResult::Told { percent, cold_us }
+    ProbeResult::Reported { percent, cold_us }
 }
 
 /// How much longer the upstream is cold by its answer, in microseconds. One that is well and says nothing of it is warm.
@@ -115,5 +115,5 @@
 fn failed(cause: &str) -> ProbeResult {
     stats::looked(Look::Failed);
     audit::look_failed(cause);
-    ProbeResult::Nothing
+    ProbeResult::NoAnswer
 }
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -181,9 +181,9 @@
         let home = cfg.upstream.map(|_| {
             let limits = home::Config {
                 slots: cfg.slots,
-                usable: cfg.usable,
+                usable_fraction: cfg.usable,
                 adaptive: registration.is_none(),
-                looks: cfg.looks_per_s > 0 && registration.is_some(),
+                can_probe: cfg.looks_per_s > 0 && registration.is_some(),
                 seed: boot.0,
                 ..home::Config::default()
             };
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -282,10 +282,10 @@
         held: held(node),
         slow_phase_us: home
             .as_ref()
-            .map_or(0, |home| home.pace().phase_us() as u64),
+            .map_or(0, |home| home.slowdown().phase_us() as u64),
         cold_us: home
             .as_ref()
-            .map_or(0, |home| home.cold().left_us(node.now())),
+            .map_or(0, |home| home.cold_limiter().left_us(node.now())),
         refused_cold: counters.refused_cold,
         refused_limited: counters.refused_limited,
         accounts_waiting: home.as_ref().map_or(0, |home| home.accounts_waiting()),
--- a/components/daemon/src/straggling.rs
+++ b/components/daemon/src/straggling.rs
@@ -17,7 +17,7 @@
 pub async fn watch(node: &Rc<Node>, id: AttemptId) {
     let due = || {
         let home = node.home.borrow();
-        home.as_ref().and_then(|home| home.straggles_at(id))
+        home.as_ref().and_then(|home| home.straggler_due(id))
     };
     while let Some(due) = due() {
         let now = node.now();
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -18,7 +18,7 @@
         audit::bad_notice(id, problem);
     }
     limit_told(node, id, "answer", |home, now| {
-        home.limit_noticed(now, notice.rate)
+        home.limit_advertised(now, notice.rate)
     });
     notice
 }
@@ -58,7 +58,7 @@
     if offer.known_limit.is_some() {
         let id = offer.id.to_string();
         limit_told(node, &id, from.as_str(), |home, now| {
-            home.limit_recalled(now, offer)
+            home.limit_restored(now, offer)
         });
     }
 }
--- a/components/entry/tests/attempts/fuzz.rs
+++ b/components/entry/tests/attempts/fuzz.rs
@@ -117,7 +117,7 @@
         4 => Just(ProbeResult::percent(100)),
         2 => Just(ProbeResult::percent(500)),
         1 => Just(ProbeResult::percent(200)),
-        1 => Just(ProbeResult::Nothing),
+        1 => Just(ProbeResult::NoAnswer),
         1 => Just(ProbeResult::NoBudget),
     ]
 }
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -31,7 +31,7 @@
             }
             Body::Ask(id, boot) => {
                 let node = &mut self.homes[home];
-                let reply = node.duty.ask(self.now, id, boot);
+                let reply = node.duty.query(self.now, id, boot);
                 node.routes.insert(id, (entry, link));
                 if reply == QueryReply::Revoked && self.oracle.shed.contains(&id) {
                     self.oracle.shed_untold += 1;
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -271,7 +271,7 @@
             return;
         }
         node.looking = false;
-        let actions = node.duty.probed(self.now, probed);
+        let actions = node.duty.probe_finished(self.now, probed);
         self.perform(home, actions);
     }
 
@@ -321,7 +321,7 @@
             return;
         }
         node.leaving = true;
-        let actions = node.duty.leave(self.now);
+        let actions = node.duty.start_drain(self.now);
         self.perform(home, actions);
     }
 
@@ -333,7 +333,7 @@
         };
         if !node.paused {
             node.leaving = false;
-            node.duty.stay();
+            node.duty.end_drain();
         }
     }
 
@@ -420,7 +420,7 @@
             slots: SLOTS,
             max_records: 2,
             max_answers: 1,
-            looks: self.looks,
+            can_probe: self.looks,
             ..Config::default()
         };
         let mut duty = Home::new(boot, cfg);
--- a/components/entry/tests/attempts/world/repeats.rs
+++ b/components/entry/tests/attempts/world/repeats.rs
@@ -48,7 +48,7 @@
             };
             duty.offer(self.now, &offer);
             if self.looks {
-                duty.probed(self.now, ProbeResult::percent(100));
+                duty.probe_finished(self.now, ProbeResult::percent(100));
             }
             self.now = self.now + USUAL_RUN_US;
             duty.completed(self.now, id, Verdict::Good, None);
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -182,7 +182,7 @@
             hall.entries.push(entry);
             let cfg = Config {
                 slots: SLOTS,
-                usable: USABLE,
+                usable_fraction: USABLE,
                 adaptive: false,
                 ..Config::default()
             };
@@ -382,7 +382,7 @@
             Delay::None => None,
             Delay::Fixed(ms) => Some(began + ms * MILLISECOND),
             Delay::Percentile => vm.run_times.p90_us().map(|us| began + us),
-            Delay::LatestUseful => vm.home.straggles_at(id),
+            Delay::LatestUseful => vm.home.straggler_due(id),
         };
         self.put(began + run_us, Happening::Ended(at, id));
         if let Some(due) = due.filter(|_| !repeat) {
--- a/components/home/src/attempt.rs
+++ b/components/home/src/attempt.rs
@@ -32,7 +32,7 @@
     pub at: Moment,
     /// How long work took at the upstream then, by its own word, in hundredths of the usual; 0 when
     /// there was no word.
-    pub percent: u32,
+    pub slow_percent: u32,
 }
 
 /// One attempt in state `S`.
@@ -68,7 +68,7 @@
     }
 
     /// The same attempt, refused if it still waits at `at`.
-    pub fn waits_until(mut self, at: Moment) -> Attempt<S> {
+    pub fn with_latest_start(mut self, at: Moment) -> Attempt<S> {
         self.latest_start = self.latest_start.min(at);
         self
     }
@@ -133,7 +133,7 @@
 
 impl Attempt<Offered> {
     /// Takes in an offer that arrived at `now`.
-    pub fn arrive(now: Moment, offer: &Offer) -> Attempt<Offered> {
+    pub fn from_offer(now: Moment, offer: &Offer) -> Attempt<Offered> {
         let deadline = now + offer.remaining_us;
         let patience = offer.objective_us.map_or(offer.remaining_us, |objective| {
             (objective as f64 * PATIENCE_PART) as u64
@@ -160,15 +160,18 @@
 
     /// The same attempt, which can't be answered within its objective any more: it stands behind those that can, and is
     /// refused when no slot comes free at once.
-    pub fn overdue(mut self, now: Moment) -> Attempt<Offered> {
+    pub fn into_overdue(mut self, now: Moment) -> Attempt<Offered> {
         self.is_overdue = true;
         self.latest_start = self.deadline.min(now + OVERDUE_WAIT_US);
         self
     }
 
     /// Takes a slot.
-    pub fn start(self, now: Moment, percent: u32) -> Attempt<Started> {
-        self.with(Started { at: now, percent })
+    pub fn start(self, now: Moment, slow_percent: u32) -> Attempt<Started> {
+        self.with(Started {
+            at: now,
+            slow_percent,
+        })
     }
 
     /// Waits for a slot.
@@ -179,7 +182,10 @@
 
 impl Attempt<Queued> {
     /// Takes a slot.
-    pub fn start(self, now: Moment, percent: u32) -> Attempt<Started> {
-        self.with(Started { at: now, percent })
+    pub fn start(self, now: Moment, slow_percent: u32) -> Attempt<Started> {
+        self.with(Started {
+            at: now,
+            slow_percent,
+        })
     }
 }
--- a/components/home/src/config.rs
+++ b/components/home/src/config.rs
@@ -15,11 +15,11 @@
     /// How long an end is kept, in microseconds.
     pub keep_us: u64,
     /// Part of the slots that is used: many upstreams slow down when they are nearly full.
-    pub usable: f64,
+    pub usable_fraction: f64,
     /// Whether slowness that is measured here lowers the limit, and a cold upstream is opened slowly.
     pub adaptive: bool,
     /// Whether the upstream can be asked for its pace before work starts there.
-    pub looks: bool,
+    pub can_probe: bool,
     /// Seed of the generator that spreads returning callers.
     pub seed: u64,
 }
@@ -31,9 +31,9 @@
             max_records: 65_536,
             max_answers: 64,
             keep_us: 60 * SECOND,
-            usable: 1.0,
+            usable_fraction: 1.0,
             adaptive: true,
-            looks: false,
+            can_probe: false,
             seed: 1,
         }
     }
@@ -43,14 +43,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
     /// It answered.
-    Told {
+    Reported {
         /// How long work takes there, in hundredths of the usual; none if it doesn't say.
         percent: Option<u32>,
         /// How much longer it is cold, in microseconds; 0 when it is warm, none if it doesn't say.
         cold_us: Option<u64>,
     },
     /// No word: the upstream did not answer in time, or does not say.
-    Nothing,
+    NoAnswer,
     /// The measuring budget allowed no look; it will soon.
     NoBudget,
 }
@@ -58,7 +58,7 @@
 impl ProbeResult {
     /// An answer that tells the pace alone.
     pub fn percent(percent: u32) -> ProbeResult {
-        ProbeResult::Told {
+        ProbeResult::Reported {
             percent: Some(percent),
             cold_us: None,
         }
@@ -72,7 +72,7 @@
     Start(AttemptId),
     /// Tell the entry duty that the attempt was not run and never will be.
     Refuse(AttemptId, Refusal),
-    /// Ask the upstream for its pace and call [`crate::Home::probed`] with what it says; offers wait.
+    /// Ask the upstream for its pace and call [`crate::Home::probe_finished`] with what it says; offers wait.
     Probe,
     /// Tell the entry duty that the run takes much longer than usual.
     Straggles(AttemptId),
@@ -107,7 +107,7 @@
     /// Offers dropped because the attempt was known already.
     pub late_offers: u64,
     /// Looks at the upstream's pace that were asked for.
-    pub looks: u64,
+    pub probes: u64,
     /// Attempts refused because the upstream is cold and bears no more for now.
     pub refused_cold: u64,
     /// Attempts refused because the upstream takes no more within the limit that it names.
@@ -117,7 +117,7 @@
     /// Starts on a word that was fresh already.
     pub probes_saved: u64,
     /// Runs reported because they took much longer than usual.
-    pub straggled: u64,
+    pub stragglers: u64,
     /// Completions dropped because the attempt was not running.
     pub late_completions: u64,
 }
--- a/components/home/src/duty.rs
+++ b/components/home/src/duty.rs
@@ -101,7 +101,7 @@
     /// Answers a question about an attempt. Asking is fencing: an attempt that has not started is
     /// recorded as not run and can't start afterwards. `boot` is the boot to which the attempt was
     /// offered; another boot knows nothing of it.
-    pub fn ask(&mut self, now: Moment, id: AttemptId, boot: BootId) -> QueryReply<A> {
+    pub fn query(&mut self, now: Moment, id: AttemptId, boot: BootId) -> QueryReply<A> {
         if boot != self.boot {
             return QueryReply::Forgotten;
         }
@@ -145,7 +145,7 @@
         self.queue.ended(&attempt);
         let service_us = now.since(attempt.state().at);
         if verdict == Verdict::Good {
-            let percent = attempt.state().percent;
+            let percent = attempt.state().slow_percent;
             self.pace.record_run(attempt.class(), service_us, percent);
         }
         self.stragglers
@@ -189,12 +189,12 @@
     /// Reports the runs that take much longer than usual, each once.
     pub fn report_stragglers(&mut self, now: Moment) -> Vec<Action> {
         let due = self.stragglers.take_due(now);
-        self.counters.straggled += due.len() as u64;
+        self.counters.stragglers += due.len() as u64;
         due.into_iter().map(Action::Straggles).collect()
     }
 
     /// When the run of an attempt is to be reported as a straggler, as far as is known now; none when it is not to be.
-    pub fn straggles_at(&self, id: AttemptId) -> Option<Moment> {
+    pub fn straggler_due(&self, id: AttemptId) -> Option<Moment> {
         self.stragglers.due(id)
     }
 
@@ -206,15 +206,15 @@
     }
 
     /// Stops taking new work and hands back what is queued. What runs goes on.
-    pub fn leave(&mut self, now: Moment) -> Vec<Action> {
+    pub fn start_drain(&mut self, now: Moment) -> Vec<Action> {
         self.leaving = true;
         let mut actions = Vec::new();
         self.hand_back_all(now, &mut actions);
         actions
     }
 
-    /// Takes new work again after [`Home::leave`].
-    pub fn stay(&mut self) {
+    /// Takes new work again after [`Home::start_drain`].
+    pub fn end_drain(&mut self) {
         self.leaving = false;
     }
 
@@ -331,7 +331,7 @@
     fn next_queued(&mut self, now: Moment, limit: u32) -> Option<Attempt<Queued>> {
         let busy = self.running.len() as u32;
         let kept = self.cfg.adaptive.then_some(&self.depth);
-        let can_wait = self.cfg.looks && !self.pace.is_probing_suspended(now);
+        let can_wait = self.cfg.can_probe && !self.pace.is_probing_suspended(now);
         let pace = &self.pace;
         self.queue.take_first(|attempt| {
             let level = attempt.class().level;
@@ -436,7 +436,7 @@
     }
 
     fn current_limit(&self, now: Moment, running: &[(Class, u64)]) -> u32 {
-        let usable = ((self.cfg.slots as f64 * self.cfg.usable) as u32).max(1);
+        let usable = ((self.cfg.slots as f64 * self.cfg.usable_fraction) as u32).max(1);
         if !self.cfg.adaptive {
             return usable;
         }
@@ -452,7 +452,12 @@
 
     /// Takes in that another run of the upstream stands here, with `slots` slots. What runs at the
     /// one before goes on and keeps its slot until it ends.
-    pub fn replaced(&mut self, now: Moment, slots: u32, earlier: PriorStarts) -> Vec<Action> {
+    pub fn upstream_replaced(
+        &mut self,
+        now: Moment,
+        slots: u32,
+        earlier: PriorStarts,
+    ) -> Vec<Action> {
         self.cfg.slots = slots.max(1);
         self.limit = ConcurrencyLimit::new(self.cfg.slots);
         self.pace = Slowdown::default();
@@ -468,13 +473,13 @@
 
     /// Takes in how long work takes at the upstream, in hundredths of the usual. Returns whether
     /// that differs from what it said before.
-    pub fn slowness_reported(&mut self, now: Moment, percent: u32) -> bool {
+    pub fn slowdown_reported(&mut self, now: Moment, percent: u32) -> bool {
         self.pace.reported(now, percent)
     }
 
     /// Takes in what an answer of the upstream says of how many requests it takes. Returns whether another limit, or none,
     /// is in force now.
-    pub fn limit_noticed(&mut self, now: Moment, notice: RateNotice) -> bool {
+    pub fn limit_advertised(&mut self, now: Moment, notice: RateNotice) -> bool {
         self.request_limit.advertised(now, notice)
     }
 
@@ -484,7 +489,7 @@
     }
 
     /// Takes in a limit that the sender of an offer knows. Returns whether it is in force now and was not before.
-    pub fn limit_recalled(&mut self, now: Moment, offer: &Offer) -> bool {
+    pub fn limit_restored(&mut self, now: Moment, offer: &Offer) -> bool {
         let limit = offer.known_limit;
         limit.is_some_and(|limit| self.request_limit.restored(now, limit))
     }
@@ -496,7 +501,7 @@
 
     /// Takes in the upstream's own registration: how much longer it is cold, in microseconds.
     pub fn cold_reported(&mut self, now: Moment, left_us: u64) {
-        if self.cfg.looks {
+        if self.cfg.can_probe {
             self.cold.reported_late(now, left_us);
         } else {
             self.cold.reported(now, left_us);
@@ -509,12 +514,12 @@
     }
 
     /// What is known of the upstream's warmth.
-    pub fn cold(&self) -> &ColdLimiter {
+    pub fn cold_limiter(&self) -> &ColdLimiter {
         &self.cold
     }
 
     /// What is known of the upstream's pace.
-    pub fn pace(&self) -> &Slowdown {
+    pub fn slowdown(&self) -> &Slowdown {
         &self.pace
     }
 
--- a/components/home/src/duty/accounts.rs
+++ b/components/home/src/duty/accounts.rs
@@ -29,12 +29,12 @@
 
     /// Number of accounts whose tags are kept: those with attempts that wait, and those whose finish tag is ahead of the
     /// virtual time.
-    pub fn accounts_kept(&self) -> usize {
+    pub fn accounts_tracked(&self) -> usize {
         self.queue.flows()
     }
 
     /// The virtual time of the fair order, in microseconds: the largest over ranks and levels.
-    pub fn virtual_us(&self) -> u64 {
-        self.queue.virtual_us()
+    pub fn virtual_time_us(&self) -> u64 {
+        self.queue.virtual_time_us()
     }
 }
--- a/components/home/src/duty/admission.rs
+++ b/components/home/src/duty/admission.rs
@@ -22,7 +22,7 @@
             level: offer.level,
             repeatable: offer.repeatable,
         };
-        let attempt = self.ranked(now, offer, Attempt::arrive(now, offer));
+        let attempt = self.ranked(now, offer, Attempt::from_offer(now, offer));
         let running = self.in_flight(now);
         let limit = self.current_limit(now, &running);
         self.limit.offered(now);
--- a/components/home/src/duty/chances.rs
+++ b/components/home/src/duty/chances.rs
@@ -34,7 +34,7 @@
             self.pace.scaled_us(now, usual_us)
         });
         let latest = objective - (run_us * ROOM_RUNS) as u64;
-        attempt.waits_until(latest.max(now))
+        attempt.with_latest_start(latest.max(now))
     }
 
     /// Lets an attempt whose caller was refused before stand behind others when it can't be answered within its objective
@@ -51,7 +51,7 @@
         let run_us = self.run_us(now, attempt.class()).unwrap_or(0.0);
         let is_late = |left_us: u64| left_us == 0 || (left_us as f64) < run_us;
         if offer.returned && offer.objective_us.is_some_and(is_late) {
-            attempt.overdue(now)
+            attempt.into_overdue(now)
         } else {
             attempt
         }
--- a/components/home/src/duty/holding.rs
+++ b/components/home/src/duty/holding.rs
@@ -8,10 +8,10 @@
 
 impl<A: Clone> Home<A> {
     /// Takes in what a look brought.
-    pub fn probed(&mut self, now: Moment, probed: ProbeResult) -> Vec<Action> {
+    pub fn probe_finished(&mut self, now: Moment, probed: ProbeResult) -> Vec<Action> {
         let asked = self.looking.take().unwrap_or(now);
         match probed {
-            ProbeResult::Told { percent, cold_us } => {
+            ProbeResult::Reported { percent, cold_us } => {
                 match percent {
                     Some(percent) => {
                         self.pace.reported(now, percent);
@@ -25,7 +25,7 @@
                 // back for as long as offers are rare.
                 self.down_since = None;
             }
-            ProbeResult::Nothing => self.pace.probe_failed(now),
+            ProbeResult::NoAnswer => self.pace.probe_failed(now),
             ProbeResult::NoBudget => self.pace.probe_denied(now),
         }
         let mut actions = Vec::new();
@@ -36,7 +36,7 @@
     /// Whether nothing may start before the upstream has said how long work takes there; asks it, once
     /// for all that wait.
     pub(super) fn waits_for_report(&mut self, now: Moment, actions: &mut Vec<Action>) -> bool {
-        if !self.cfg.looks || !self.pace.needs_probe(now) {
+        if !self.cfg.can_probe || !self.pace.needs_probe(now) {
             return false;
         }
         self.probe_once(now, actions);
@@ -47,7 +47,7 @@
     pub(super) fn probe_once(&mut self, now: Moment, actions: &mut Vec<Action>) {
         if self.looking.is_none() {
             self.looking = Some(now);
-            self.counters.looks += 1;
+            self.counters.probes += 1;
             actions.push(Action::Probe);
         }
     }
@@ -62,12 +62,14 @@
     }
 
     fn can_ask(&self, now: Moment) -> bool {
-        self.cfg.looks && !self.pace.is_probing_suspended(now) && !self.pace.is_probe_denied(now)
+        self.cfg.can_probe
+            && !self.pace.is_probing_suspended(now)
+            && !self.pace.is_probe_denied(now)
     }
 
     /// Whether work of this class should not begin now because the upstream is in a slow phase.
     pub(super) fn is_deferred(&self, now: Moment, class: Class) -> bool {
-        if self.cfg.looks {
+        if self.cfg.can_probe {
             self.pace.is_deferred(now, class)
         } else {
             self.pace.is_slow(now)
@@ -76,12 +78,14 @@
 
     /// The same for work that may wait. Without a way to see the phase's end it does not.
     pub(super) fn defers_queued(&self, now: Moment, class: Class) -> bool {
-        self.cfg.looks && !self.pace.is_probing_suspended(now) && self.pace.is_deferred(now, class)
+        self.cfg.can_probe
+            && !self.pace.is_probing_suspended(now)
+            && self.pace.is_deferred(now, class)
     }
 
     /// How long new work is expected to wait for the end of a slow phase, in microseconds.
     pub(super) fn held_us(&self, now: Moment) -> u64 {
-        if self.cfg.looks {
+        if self.cfg.can_probe {
             self.pace.phase_left_us(now)
         } else {
             0
--- a/components/home/src/fair.rs
+++ b/components/home/src/fair.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Lane {
     flows: BTreeMap<Account, Flow>,
-    virtual_us: u64,
+    virtual_time_us: u64,
     running: u32,
 }
 
@@ -49,8 +49,8 @@
     }
 
     /// The start tag of the attempt that started last, in microseconds.
-    pub(crate) fn virtual_us(&self) -> u64 {
-        self.virtual_us
+    pub(crate) fn virtual_time_us(&self) -> u64 {
+        self.virtual_time_us
     }
 
     /// The attempts that wait, account by account.
@@ -73,7 +73,7 @@
     pub(crate) fn put(&mut self, attempt: Attempt<Queued>, cost_us: u64) {
         let flow = self.flows.entry(attempt.account().clone()).or_default();
         if flow.waiting.is_empty() {
-            flow.tag_us = flow.tag_us.max(self.virtual_us);
+            flow.tag_us = flow.tag_us.max(self.virtual_time_us);
         }
         flow.waiting.insert(due(&attempt), (attempt, cost_us));
     }
@@ -108,8 +108,8 @@
         self.running += 1;
         let flow = self.flows.entry(account.clone()).or_default();
         // An account whose attempts did not fit for a while does not make up for it afterwards.
-        self.virtual_us = self.virtual_us.max(flow.tag_us);
-        flow.tag_us = self.virtual_us + cost_us;
+        self.virtual_time_us = self.virtual_time_us.max(flow.tag_us);
+        flow.tag_us = self.virtual_time_us + cost_us;
         self.forget_passed();
     }
 
@@ -123,7 +123,7 @@
     pub(crate) fn ahead_of<S>(&self, attempt: &Attempt<S>) -> usize {
         let own = self.flows.get(attempt.account());
         let costs_us: u64 = own.map_or(0, |flow| flow.waiting.values().map(|(_, us)| us).sum());
-        let first_us = own.map_or(0, |flow| flow.tag_us).max(self.virtual_us);
+        let first_us = own.map_or(0, |flow| flow.tag_us).max(self.virtual_time_us);
         let place = (first_us + costs_us, due(attempt));
         let others = self.flows.iter();
         let others = others.filter(|(account, _)| *account != attempt.account());
@@ -142,7 +142,7 @@
 
     /// Drops the finish tags that the virtual time has reached, of accounts that have nothing waiting.
     fn forget_passed(&mut self) {
-        let now_us = self.virtual_us;
+        let now_us = self.virtual_time_us;
         self.flows
             .retain(|_, flow| !flow.waiting.is_empty() || flow.tag_us > now_us);
     }
--- a/components/home/src/queue.rs
+++ b/components/home/src/queue.rs
@@ -104,9 +104,9 @@
     }
 
     /// The virtual time of the lane that is furthest, in microseconds.
-    pub(crate) fn virtual_us(&self) -> u64 {
+    pub(crate) fn virtual_time_us(&self) -> u64 {
         let lanes = self.lanes.values();
-        lanes.map(Lane::virtual_us).max().unwrap_or(0)
+        lanes.map(Lane::virtual_time_us).max().unwrap_or(0)
     }
 
     /// Lets an attempt wait that costs its account `cost_us`.
--- a/components/home/src/stragglers.rs
+++ b/components/home/src/stragglers.rs
@@ -50,7 +50,7 @@
         let watched = Watched {
             class: attempt.class(),
             began: state.at,
-            percent: u64::from(state.percent).max(USUAL_PERCENT),
+            percent: u64::from(state.slow_percent).max(USUAL_PERCENT),
             objective: attempt.objective(),
         };
         self.watched.insert(attempt.id(), watched);
@@ -68,7 +68,7 @@
         pace: &Slowdown,
     ) {
         self.watched.remove(&attempt.id());
-        let percent = attempt.state().percent;
+        let percent = attempt.state().slow_percent;
         if pace.is_slow_report(percent) {
             return;
         }
@@ -117,7 +117,7 @@
     /// How long a run may take that is not to be reported, in microseconds: the 90th percentile of its class at the pace at
     /// which it began; none while that is not known.
     pub fn typical_us(&self, attempt: &Attempt<Started>) -> Option<u64> {
-        let percent = u64::from(attempt.state().percent).max(USUAL_PERCENT);
+        let percent = u64::from(attempt.state().slow_percent).max(USUAL_PERCENT);
         Some(self.p90_us(attempt.class())? * percent / USUAL_PERCENT)
     }
 
--- a/components/home/tests/cold.rs
+++ b/components/home/tests/cold.rs
@@ -49,7 +49,7 @@
     let cfg = Config {
         slots: 11,
         adaptive: false,
-        looks,
+        can_probe: looks,
         ..Config::default()
     };
     let mut home = Home::new(BootId(1), cfg);
@@ -57,12 +57,12 @@
         starts_per_s: MOST,
         cold_us: COLD_US,
     });
-    home.replaced(START, 11, earlier);
+    home.upstream_replaced(START, 11, earlier);
     home
 }
 
 fn told(cold_us: u64) -> ProbeResult {
-    ProbeResult::Told {
+    ProbeResult::Reported {
         percent: Some(USUAL),
         cold_us: Some(cold_us),
     }
@@ -122,7 +122,7 @@
     fn answer_look(&mut self) {
         if std::mem::take(&mut self.asked) {
             let left_us = self.cold_until.since(self.now);
-            let actions = self.home.probed(self.now, told(left_us));
+            let actions = self.home.probe_finished(self.now, told(left_us));
             self.perform(actions);
         }
     }
@@ -279,7 +279,7 @@
     }
     let actions = drive
         .home
-        .replaced(drive.now, 11, PriorStarts::SameIdentity);
+        .upstream_replaced(drive.now, 11, PriorStarts::SameIdentity);
     drive.perform(actions);
     for _ in 0..10 {
         drive.offer(true);
@@ -301,7 +301,7 @@
     drive.answer_look();
     assert_eq!(drive.starts.len(), 1);
     assert!(matches!(
-        drive.home.cold().admission(drive.now, 0),
+        drive.home.cold_limiter().admission(drive.now, 0),
         ColdAdmission::Full(_)
     ));
 }
@@ -365,7 +365,7 @@
                 }
                 Step::Replace => {
                     let now = drive.now;
-                    let actions = drive.home.replaced(now, 11, PriorStarts::None);
+                    let actions = drive.home.upstream_replaced(now, 11, PriorStarts::None);
                     drive.cold_until = now + COLD_US;
                     cold_since = Some(now);
                     drive.starts.clear();
@@ -389,13 +389,13 @@
     let mut home = duty(false, second);
     home.cold_reported(START, COLD_US - 508 * MILLISECOND);
     assert!(matches!(
-        home.cold().admission(START, 0),
+        home.cold_limiter().admission(START, 0),
         ColdAdmission::Full(_)
     ));
     // The first one of a start that numbers them from 1 comes when it is young.
     let first = PriorStarts::of_registration(1, START, COLD_US, registration_gap_us);
     assert_eq!(
-        duty(false, first).cold().admission(START, 0),
+        duty(false, first).cold_limiter().admission(START, 0),
         ColdAdmission::Free
     );
     assert_eq!(
--- a/components/home/tests/decisions.rs
+++ b/components/home/tests/decisions.rs
@@ -60,12 +60,12 @@
             880..960 if self.is_looking => {
                 self.is_looking = false;
                 let probed = match self.rng.random_range(0..8) {
-                    0 => ProbeResult::Nothing,
+                    0 => ProbeResult::NoAnswer,
                     1 => ProbeResult::NoBudget,
                     2 => ProbeResult::percent(500),
                     _ => ProbeResult::percent(100),
                 };
-                self.home.probed(now, probed)
+                self.home.probe_finished(now, probed)
             }
             960..980 => {
                 let id = id(self.rng.random_range(0..=self.next));
@@ -76,13 +76,15 @@
             }
             980..995 => {
                 let percent = [100, 100, 150, 400][self.rng.random_range(0..4)];
-                self.home.slowness_reported(now, percent);
+                self.home.slowdown_reported(now, percent);
                 Vec::new()
             }
-            995 => self.home.leave(now),
-            996 => self.home.replaced(now, self.slots, PriorStarts::None),
+            995 => self.home.start_drain(now),
+            996 => self
+                .home
+                .upstream_replaced(now, self.slots, PriorStarts::None),
             _ => {
-                self.home.stay();
+                self.home.end_drain();
                 self.home.tick(now)
             }
         };
@@ -166,7 +168,7 @@
         ..plain.clone()
     };
     let looking = Config {
-        looks: true,
+        can_probe: true,
         ..plain.clone()
     };
     let cold = ColdCapacity::Limited {
--- a/components/home/tests/fair/bound.rs
+++ b/components/home/tests/fair/bound.rs
@@ -16,7 +16,7 @@
 
 fn longest_us(home: &Home<u64>) -> u64 {
     let usual_us = |repeatable| {
-        home.pace().service_us(Class {
+        home.slowdown().service_us(Class {
             level: 0,
             repeatable,
         })
@@ -37,20 +37,20 @@
 
 impl Accounts {
     fn perform(&mut self, actions: &[home::Action]) {
-        let virtual_us = self.home.virtual_us();
+        let virtual_time_us = self.home.virtual_time_us();
         for seq in started(actions) {
             self.running.push_back(seq);
-            let finish_us = virtual_us + longest_us(&self.home);
+            let finish_us = virtual_time_us + longest_us(&self.home);
             self.finish_us.insert(self.account_of[&seq], finish_us);
         }
         let load = self.home.load(self.now);
         if load.in_flight + load.queued == 0 {
             self.finish_us.clear();
-            assert_eq!(self.home.accounts_kept(), 0);
+            assert_eq!(self.home.accounts_tracked(), 0);
             return;
         }
         let recent = self.finish_us.iter();
-        let recent = recent.filter(|(_, at_us)| **at_us > virtual_us);
+        let recent = recent.filter(|(_, at_us)| **at_us > virtual_time_us);
         let waiting = self
             .account_of
             .iter()
@@ -59,7 +59,7 @@
             .map(|it| *it.0)
             .chain(waiting.map(|it| *it.1))
             .collect();
-        let kept = self.home.accounts_kept();
+        let kept = self.home.accounts_tracked();
         assert!(kept <= most.len(), "{kept} kept, at most {}", most.len());
         assert!(load.queued <= 8 * SLOTS, "{load:?}");
         let home = &self.home;
@@ -107,6 +107,6 @@
             let actions = accounts.home.completed(accounts.now, id(ended), Verdict::Good, None);
             accounts.perform(&actions);
         }
-        prop_assert_eq!((accounts.home.accounts_kept(), accounts.home.accounts_waiting()), (0, 0));
+        prop_assert_eq!((accounts.home.accounts_tracked(), accounts.home.accounts_waiting()), (0, 0));
     }
 }
--- a/components/home/tests/fair/drawn.rs
+++ b/components/home/tests/fair/drawn.rs
@@ -120,13 +120,13 @@
         self.served_us.retain(|(lane, _), _| busy.contains(lane));
         let served = self.served_us.keys().copied();
         let most = served.chain(waiting).collect::<BTreeSet<_>>().len();
-        assert!(self.home.accounts_kept() <= most);
+        assert!(self.home.accounts_tracked() <= most);
     }
 
     fn cost_us(&self, level: u32, repeatable: bool) -> u64 {
         let usual_us = |level, repeatable| {
             let class = Class { level, repeatable };
-            self.home.pace().service_us(class)
+            self.home.slowdown().service_us(class)
         };
         let all = [(0, false), (0, true), (1, false), (1, true)];
         let known = all
@@ -238,7 +238,7 @@
             follow.step(u64::MAX, &Step::Tick);
         }
         prop_assert_eq!(follow.ended.len(), follow.offered.len(), "an attempt was lost");
-        prop_assert_eq!(follow.home.accounts_kept(), 0, "state stays when nothing runs or waits");
+        prop_assert_eq!(follow.home.accounts_tracked(), 0, "state stays when nothing runs or waits");
         prop_assert!(follow.home.is_idle());
     }
 }
--- a/components/home/tests/fair/order.rs
+++ b/components/home/tests/fair/order.rs
@@ -240,17 +240,17 @@
     let cfg = Config {
         slots: 1,
         adaptive: false,
-        looks: true,
+        can_probe: true,
         ..Config::default()
     };
     let mut home: Home<u64> = Home::new(BootId(1), cfg);
     home.offer(BEGIN, &offer(0, "other"));
-    home.probed(BEGIN, ProbeResult::percent(100));
+    home.probe_finished(BEGIN, ProbeResult::percent(100));
     let later = BEGIN + RUN_US;
     for (seq, account) in [(1, "quiet"), (2, "busy"), (3, "busy")] {
         home.offer(later, &offer(seq, account));
     }
-    assert_eq!(home.probed(later, ProbeResult::percent(100)), []);
+    assert_eq!(home.probe_finished(later, ProbeResult::percent(100)), []);
     let actions = home.completed(later, id(0), Verdict::Good, None);
     assert_eq!(started(&actions), [1]);
 }
@@ -291,12 +291,12 @@
     let cfg = Config {
         slots: 1,
         adaptive: false,
-        looks: true,
+        can_probe: true,
         ..Config::default()
     };
     let mut home: Home<u64> = Home::new(BootId(1), cfg);
     home.offer(BEGIN, &offer(0, "busy"));
-    home.probed(BEGIN, ProbeResult::percent(100));
+    home.probe_finished(BEGIN, ProbeResult::percent(100));
     for seq in 1..9 {
         home.offer(BEGIN, &offer(seq, "busy"));
     }
@@ -304,7 +304,7 @@
     for seq in 9..12 {
         home.offer(later, &offer(seq, &format!("quiet-{seq}")));
     }
-    let actions = home.probed(later, ProbeResult::percent(100));
+    let actions = home.probe_finished(later, ProbeResult::percent(100));
     assert_eq!(refused(&actions), [8, 7, 6]);
     assert_eq!(home.load(later).queued, 8);
 }
--- a/components/home/tests/home.rs
+++ b/components/home/tests/home.rs
@@ -83,7 +83,7 @@
     let mut immediate = offer(4);
     immediate.may_queue = false;
     assert_eq!(reason(&home.offer(now, &immediate)), Some(Reason::Busy));
-    assert_eq!(home.ask(now, id(4), ME), QueryReply::Revoked);
+    assert_eq!(home.query(now, id(4), ME), QueryReply::Revoked);
 }
 
 #[test]
@@ -121,7 +121,7 @@
     urgent.priority = 9;
     let actions = home.offer(now, &urgent);
     assert_eq!(reason(&actions), Some(Reason::Busy), "{actions:?}");
-    assert_ne!(home.ask(now, id(37), ME), QueryReply::Started);
+    assert_ne!(home.query(now, id(37), ME), QueryReply::Started);
     let actions = home.completed(now + 1, id(0), Verdict::Good, Some(0));
     assert!(
         !actions.contains(&Action::Start(id(37))),
@@ -188,11 +188,11 @@
     for seq in 0..5 {
         home.offer(now, &offer(seq));
     }
-    assert_eq!(home.leave(now), [Action::Revoke(id(4))]);
+    assert_eq!(home.start_drain(now), [Action::Revoke(id(4))]);
     assert_eq!(reason(&home.offer(now, &offer(5))), Some(Reason::Leaving));
     home.completed(now, id(0), Verdict::Good, Some(0));
-    assert_eq!(home.ask(now, id(0), ME), QueryReply::Answered(0));
-    assert_eq!(home.ask(now, id(1), ME), QueryReply::Started);
+    assert_eq!(home.query(now, id(0), ME), QueryReply::Answered(0));
+    assert_eq!(home.query(now, id(1), ME), QueryReply::Started);
 }
 
 #[test]
@@ -209,7 +209,7 @@
         now = now + MILLISECOND;
         home.completed(now, id(seq), Verdict::Good, Some(seq));
     }
-    assert_eq!(home.ask(now, id(0), ME), QueryReply::Forgotten);
+    assert_eq!(home.query(now, id(0), ME), QueryReply::Forgotten);
     assert_eq!(reason(&home.offer(now, &offer(0))), Some(Reason::Stale));
 }
 
@@ -251,14 +251,14 @@
         panic!("{actions:?}");
     };
     assert_eq!((*refused, refusal.reason), (id(6), Reason::Busy));
-    assert_eq!(home.ask(now, id(6), BootId(1)), QueryReply::Revoked);
+    assert_eq!(home.query(now, id(6), BootId(1)), QueryReply::Revoked);
 }
 
 #[test]
 fn only_the_usable_part_of_the_slots_is_used() {
     let cfg = Config {
         slots: 6,
-        usable: 0.8,
+        usable_fraction: 0.8,
         adaptive: false,
         ..Config::default()
     };
@@ -269,14 +269,14 @@
         .filter(|action| matches!(action, Action::Start(_)))
         .count();
     assert_eq!(started, 4);
-    let more = home.replaced(now, 12, PriorStarts::None);
+    let more = home.upstream_replaced(now, 12, PriorStarts::None);
     assert_eq!(more.len(), 2);
 }
 
 #[test]
 fn an_upstream_that_says_it_is_slow_gives_no_free_slot_but_lets_requests_wait() {
     let (mut home, now) = warm(60 * MILLISECOND);
-    home.slowness_reported(now, 400);
+    home.slowdown_reported(now, 400);
     let at_once = Offer {
         may_queue: false,
         repeat: false,
--- a/components/home/tests/overdue.rs
+++ b/components/home/tests/overdue.rs
@@ -92,7 +92,7 @@
     let cfg = Config {
         slots: SLOTS,
         adaptive: false,
-        looks: true,
+        can_probe: true,
         ..Config::default()
     };
     let mut home: Home<u64> = Home::new(BootId(1), cfg);
--- a/components/home/tests/pace.rs
+++ b/components/home/tests/pace.rs
@@ -45,7 +45,7 @@
         Config {
             slots: 4,
             adaptive: false,
-            looks: true,
+            can_probe: true,
             ..Config::default()
         },
     )
@@ -55,7 +55,7 @@
 fn experienced() -> (Home<u64>, Moment) {
     let mut home = duty();
     home.offer(START, &offer(1_000, true));
-    home.probed(START, ProbeResult::percent(USUAL));
+    home.probe_finished(START, ProbeResult::percent(USUAL));
     let end = START + 200 * MILLISECOND;
     home.completed(end, id(1_000), Verdict::Good, Some(1));
     (home, end)
@@ -74,19 +74,19 @@
     let mut home = duty();
     assert_eq!(home.offer(START, &offer(1, true)), [Action::Probe]);
     assert_eq!(home.offer(START, &offer(2, false)), []);
-    let actions = home.probed(START + MILLISECOND, ProbeResult::percent(USUAL));
+    let actions = home.probe_finished(START + MILLISECOND, ProbeResult::percent(USUAL));
     assert_eq!(actions, [Action::Start(id(1)), Action::Start(id(2))]);
 }
 
 #[test]
 fn a_word_that_came_with_an_answer_saves_the_look() {
     let mut home = duty();
-    home.slowness_reported(START, USUAL);
+    home.slowdown_reported(START, USUAL);
     let soon = START + 15 * MILLISECOND;
     assert_eq!(home.offer(soon, &offer(1, true)), [Action::Start(id(1))]);
     let late = START + 30 * MILLISECOND;
     assert_eq!(home.offer(late, &offer(2, true)), [Action::Probe]);
-    assert_eq!(home.counters().looks, 1);
+    assert_eq!(home.counters().probes, 1);
     assert_eq!(home.counters().probes_saved, 1);
 }
 
@@ -95,7 +95,7 @@
     let (mut home, now) = experienced();
     home.offer(now, &offer(1, true));
     home.offer(now, &offer(2, false));
-    let actions = home.probed(now, ProbeResult::percent(SLOW));
+    let actions = home.probe_finished(now, ProbeResult::percent(SLOW));
     assert!(is_refused(&actions, 2), "{actions:?}");
     assert!(home.is_queued(id(1)));
     assert!(home.load(now).deferred_us > 50 * MILLISECOND);
@@ -104,7 +104,7 @@
     let later = now + LOOK_US;
     assert_eq!(home.tick(later), [Action::Probe]);
     assert_eq!(
-        home.probed(later, ProbeResult::percent(USUAL)),
+        home.probe_finished(later, ProbeResult::percent(USUAL)),
         [Action::Start(id(1))]
     );
     assert_eq!(home.load(later).deferred_us, 0);
@@ -114,12 +114,12 @@
 fn work_whose_slow_run_is_shorter_than_the_wait_begins_at_once_and_needs_no_word() {
     let mut home = duty();
     home.offer(START, &offer(1, true));
-    home.probed(START, ProbeResult::percent(USUAL));
+    home.probe_finished(START, ProbeResult::percent(USUAL));
     let now = START + 10 * MILLISECOND;
     home.completed(now, id(1), Verdict::Good, Some(1));
     let later = now + SECOND;
     assert_eq!(home.offer(later, &offer(2, true)), [Action::Start(id(2))]);
-    home.slowness_reported(later, SLOW);
+    home.slowdown_reported(later, SLOW);
     assert_eq!(home.offer(later, &offer(3, true)), [Action::Start(id(3))]);
 }
 
@@ -128,7 +128,7 @@
     let mut home = duty();
     home.offer(START, &offer(1, true));
     assert_eq!(
-        home.probed(START, ProbeResult::Nothing),
+        home.probe_finished(START, ProbeResult::NoAnswer),
         [Action::Start(id(1))]
     );
     let soon = START + 100 * MILLISECOND;
@@ -142,9 +142,9 @@
     let mut home = duty();
     home.offer(START, &offer(1, true));
     home.offer(START, &offer(2, true));
-    assert_eq!(home.ask(START, id(1), ME), QueryReply::Revoked);
+    assert_eq!(home.query(START, id(1), ME), QueryReply::Revoked);
     assert!(!home.cancel(START, id(2)));
-    assert_eq!(home.probed(START, ProbeResult::percent(USUAL)), []);
+    assert_eq!(home.probe_finished(START, ProbeResult::percent(USUAL)), []);
     assert!(home.is_idle());
 }
 
@@ -156,13 +156,13 @@
     while home.is_queued(id(1)) {
         assert!(now.since(begin) < 1_100 * MILLISECOND, "held back too long");
         if home.tick(now) == [Action::Probe] || now == begin {
-            home.probed(now, ProbeResult::percent(SLOW));
+            home.probe_finished(now, ProbeResult::percent(SLOW));
         }
         now = now + LOOK_US;
     }
     // A slow phase within the lasting slowness is one all the same.
     home.offer(now, &offer(2, true));
-    home.probed(now, ProbeResult::percent(5 * SLOW));
+    home.probe_finished(now, ProbeResult::percent(5 * SLOW));
     assert!(home.is_queued(id(2)));
 }
 
@@ -171,7 +171,7 @@
     let (mut home, now) = experienced();
     home.offer(now, &offer(1, true));
     assert_eq!(
-        home.probed(now, ProbeResult::percent(200)),
+        home.probe_finished(now, ProbeResult::percent(200)),
         [Action::Start(id(1))]
     );
 }
@@ -240,7 +240,7 @@
     for look in 1..18u64 {
         let now = begin + look * LOOK_US;
         let mut actions = home.tick(now);
-        actions.extend(home.probed(now, ProbeResult::percent(SLOW)));
+        actions.extend(home.probe_finished(now, ProbeResult::percent(SLOW)));
         for action in actions {
             if let Action::Refuse(id, _) = action {
                 refused.push((id, now.since(begin) / MILLISECOND));
@@ -257,7 +257,7 @@
     for seq in 10..14 {
         home.offer(now, &offer(seq, true));
     }
-    home.probed(now, ProbeResult::percent(USUAL));
+    home.probe_finished(now, ProbeResult::percent(USUAL));
     home.offer(now, &urgent(1));
     let refused = refused_in_a_long_phase(&mut home, now);
     // 0.22 of 600 ms.
@@ -271,25 +271,25 @@
 fn without_budget_for_a_look_the_last_word_holds_for_a_moment() {
     let (mut home, now) = experienced();
     home.offer(now, &offer(1, true));
-    home.probed(now, ProbeResult::percent(SLOW));
+    home.probe_finished(now, ProbeResult::percent(SLOW));
     let later = now + LOOK_US;
     assert_eq!(home.tick(later), [Action::Probe]);
-    assert_eq!(home.probed(later, ProbeResult::NoBudget), []);
+    assert_eq!(home.probe_finished(later, ProbeResult::NoBudget), []);
     assert!(home.is_queued(id(1)), "it began in a slow phase");
     let next = later + LOOK_US;
     assert_eq!(home.tick(next), [Action::Probe]);
-    let actions = home.probed(next, ProbeResult::percent(USUAL));
+    let actions = home.probe_finished(next, ProbeResult::percent(USUAL));
     assert_eq!(actions, [Action::Start(id(1))]);
 }
 
 #[test]
 fn an_upstream_that_was_down_takes_work_again_once_a_look_finds_it() {
     let (mut home, now) = experienced();
-    home.slowness_reported(now, USUAL);
+    home.slowdown_reported(now, USUAL);
     home.offer(now, &offer(1, true));
     home.completed(now, id(1), Verdict::NotSent, None);
     let later = now + SECOND;
     assert_eq!(home.offer(later, &offer(2, true)), [Action::Probe]);
-    let actions = home.probed(later, ProbeResult::percent(USUAL));
+    let actions = home.probe_finished(later, ProbeResult::percent(USUAL));
     assert_eq!(actions, [Action::Start(id(2))]);
 }
--- a/components/home/tests/request_limit.rs
+++ b/components/home/tests/request_limit.rs
@@ -99,7 +99,7 @@
     fn offer(&mut self, now: Moment, known_limit: Option<RequestRate>) {
         self.next += 1;
         let offer = offer(self.next, known_limit);
-        self.home.limit_recalled(now, &offer);
+        self.home.limit_restored(now, &offer);
         let actions = self.home.offer(now, &offer);
         self.perform(now, actions);
     }
@@ -111,7 +111,7 @@
         self.running.retain(|(end, _)| *end > now);
         for id in due {
             let notice = self.names.map_or(RateNotice::None, RateNotice::Limit);
-            self.home.limit_noticed(now, notice);
+            self.home.limit_advertised(now, notice);
             let actions = self.home.completed(now, id, Verdict::Good, Some(0));
             self.perform(now, actions);
         }
@@ -235,9 +235,10 @@
     let mut site = Site::new(Some(per_s(1_000)));
     site.load(Moment(1), SECOND, 50 * MILLISECOND, None);
     let now = Moment(1) + SECOND;
-    site.home.replaced(now, SLOTS, PriorStarts::SameIdentity);
+    site.home
+        .upstream_replaced(now, SLOTS, PriorStarts::SameIdentity);
     assert_eq!(site.home.load(now).request_limit, Some(per_s(1_000)));
-    site.home.replaced(now, SLOTS, PriorStarts::None);
+    site.home.upstream_replaced(now, SLOTS, PriorStarts::None);
     assert_eq!(site.home.load(now).request_limit, None);
 }
 
--- a/components/home/tests/stragglers.rs
+++ b/components/home/tests/stragglers.rs
@@ -134,7 +134,7 @@
         self.seq += 1;
         let watched = id(self.seq);
         self.home.offer(self.now, &offer(self.seq));
-        let due = self.home.straggles_at(watched);
+        let due = self.home.straggler_due(watched);
         // Errors teach nothing of run times.
         let verdict = Verdict::Error;
         self.home.completed(self.now, watched, verdict, None);
@@ -313,7 +313,7 @@
     let cfg = Config {
         slots: SLOTS,
         adaptive: false,
-        looks: true,
+        can_probe: true,
         ..Config::default()
     };
     let mut site = Site {
@@ -321,7 +321,8 @@
         ..Site::new()
     };
     let told = |site: &mut Site, percent| {
-        site.home.probed(site.now, ProbeResult::percent(percent));
+        site.home
+            .probe_finished(site.now, ProbeResult::percent(percent));
     };
     for _ in 0..100 {
         told(&mut site, 100);
@@ -351,20 +352,21 @@
     let delay = site.delay_us(offer).expect("it is known");
     let began = site.now;
     site.home.offer(began, &offer(1));
-    let due = site.home.straggles_at(id(1));
+    let due = site.home.straggler_due(id(1));
     assert_eq!(due, Some(began + delay));
     assert_eq!(site.home.report_stragglers(began + delay), []);
     let reported = [Action::Straggles(id(1))];
     let at = began + delay + 1;
     assert_eq!(site.home.report_stragglers(at), reported);
-    assert_eq!(site.home.straggles_at(id(1)), None);
+    assert_eq!(site.home.straggler_due(id(1)), None);
 }
 
 /// Guards against run times of an upstream that another one has replaced.
 #[test]
 fn another_upstream_has_run_times_of_its_own() {
     let mut site = Site::warm();
-    site.home.replaced(site.now, SLOTS, home::PriorStarts::None);
+    site.home
+        .upstream_replaced(site.now, SLOTS, home::PriorStarts::None);
     assert_eq!(site.delay_us(offer), None);
 }
 
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -281,9 +281,9 @@
     let spec = &site.vms[vm];
     let cfg = Config {
         slots: site.services[spec.service].slots,
-        usable: site.usable,
+        usable_fraction: site.usable,
         adaptive: false,
-        looks: true,
+        can_probe: true,
         seed: rng.random(),
         ..Config::default()
     };
--- a/components/model/src/world/home_side.rs
+++ b/components/model/src/world/home_side.rs
@@ -49,11 +49,11 @@
     pub(super) fn probed(&mut self, vm: usize) {
         let node = &mut self.nodes[vm];
         let pace = &self.site.pace;
-        let probed = ProbeResult::Told {
+        let probed = ProbeResult::Reported {
             percent: Some(node.upstream.percent(self.now, pace, &self.troubles)),
             cold_us: Some(node.upstream.cold_us(self.now, pace)),
         };
-        let actions = node.home.probed(self.now, probed);
+        let actions = node.home.probe_finished(self.now, probed);
         self.perform(vm, actions);
     }
 
@@ -131,7 +131,7 @@
         let percent = node
             .upstream
             .percent(self.now, &self.site.pace, &self.troubles);
-        node.home.slowness_reported(self.now, percent);
+        node.home.slowdown_reported(self.now, percent);
         let is_good = verdict == Verdict::Good;
         let answer = (verdict != Verdict::Cancelled).then_some(is_good);
         let actions = node.home.completed(self.now, id, verdict, answer);
@@ -221,7 +221,7 @@
         }
         let up_at = self.now + cold.down_us;
         let lost = node.upstream.fall(up_at);
-        let actions = node.home.leave(self.now);
+        let actions = node.home.start_drain(self.now);
         self.falls.push(self.now);
         self.site.vms[vm].up_at = up_at;
         self.at(up_at, Happening::Back { vm });
@@ -236,8 +236,10 @@
     pub(super) fn back(&mut self, vm: usize) {
         let node = &mut self.nodes[vm];
         let slots = self.site.services[self.site.vms[vm].service].slots;
-        node.home.stay();
-        let actions = node.home.replaced(self.now, slots, PriorStarts::None);
+        node.home.end_drain();
+        let actions = node
+            .home
+            .upstream_replaced(self.now, slots, PriorStarts::None);
         self.perform(vm, actions);
     }
 
--- a/components/model/src/world/refusals.rs
+++ b/components/model/src/world/refusals.rs
@@ -36,7 +36,8 @@
         };
         let load = node.home.load(self.now);
         let is_free = load.in_flight < load.limit && load.queued == 0;
-        let is_closed = load.leaving || load.cold_wait_us > 0 || node.home.pace().is_slow(self.now);
+        let is_closed =
+            load.leaving || load.cold_wait_us > 0 || node.home.slowdown().is_slow(self.now);
         let percent = load.slow_percent.max(100);
         let usual_us = self.site.usual_us(self.requests[req].class) * f64::from(percent) / 100.0;
         is_free && !is_closed && usual_us < deadline.since(self.now) as f64
--- a/components/model/src/world/trouble.rs
+++ b/components/model/src/world/trouble.rs
@@ -35,7 +35,7 @@
     pub(super) fn gone(&mut self, vm: usize, until: Moment) {
         let node = &mut self.nodes[vm];
         let lost = node.upstream.fall(until);
-        let actions = node.home.leave(self.now);
+        let actions = node.home.start_drain(self.now);
         self.site.vms[vm].up_at = until;
         self.at(until, Happening::Back { vm });
         self.perform(vm, actions);
