--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -63,7 +63,7 @@
                 let mut call: Call<u64> =
                     Call::new("s".into(), treatment, Moment(9_000_000), candidates.clone());
                 black_box(call.step(Moment(1), Event::Begin, &mut entry));
-                black_box(call.step(Moment(1), Event::HungUp, &mut entry));
+                black_box(call.step(Moment(1), Event::CallerDisconnected, &mut entry));
             });
         });
     }
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -193,7 +193,7 @@
         (Standing::Held, _) | (_, None) => Vec::new(),
         (_, Some(service)) => order(node, &service, suspect.fingerprint),
     };
-    Event::Ended { id, order }
+    Event::UpstreamTerminated { id, order }
 }
 
 /// Takes in what another node holds, from its record, and what the same start of it held before.
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -130,7 +130,7 @@
             event = match select(next, hung_up.as_mut()).await {
                 Either::Left((Ok(Ok(event)), _)) => event,
                 Either::Left((_, _)) => self.expired(),
-                Either::Right(((), _)) => Event::HungUp,
+                Either::Right(((), _)) => Event::CallerDisconnected,
             };
         }
     }
@@ -178,7 +178,7 @@
                     repeat,
                     suspicion,
                 } => self.offer(id, to, may_queue, repeat, suspicion),
-                Action::Ask { id, to } => links::ask(self.node, &to, id),
+                Action::Query { id, to } => links::ask(self.node, &to, id),
                 Action::Cancel { id, to } => self.cancel(id, &to),
             }
         }
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -155,5 +155,5 @@
 }
 
 fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::Whole>) {
-    deliver(node, id, Event::Told(id, reply));
+    deliver(node, id, Event::QueryReplied(id, reply));
 }
--- a/components/daemon/src/links/heartbeat.rs
+++ b/components/daemon/src/links/heartbeat.rs
@@ -95,7 +95,7 @@
     match up.asked.get() {
         Some(asked) if now.since(asked) > SILENT_US => {
             for id in attempts {
-                entry_driver::deliver(node, *id, Event::Silent(*id));
+                entry_driver::deliver(node, *id, Event::NodeUnresponsive(*id));
             }
             node.entry.borrow_mut().mark_unresponsive(now, vm);
             questions_lost(node, vm);
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -345,7 +345,7 @@
 fn transmit_up(node: &Rc<Node>, up: &UpLink, frame: Frame) {
     if let Frame::Ask { id, boot } = &frame {
         if *boot != up.boot {
-            entry_driver::deliver(node, *id, Event::Gone(*id));
+            entry_driver::deliver(node, *id, Event::NodeGone(*id));
             return;
         }
     }
@@ -371,7 +371,7 @@
         Frame::Offer { offer, .. } => {
             entry_driver::deliver(node, offer.id, Event::NotSent(offer.id));
         }
-        Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::Gone(*id)),
+        Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::NodeGone(*id)),
         Frame::Relay { id, .. } => relay::relayed(node, *id, Relayed::NotSent),
         Frame::Recover { id } => recovery::answered(node, *id, None),
         Frame::Claim { id, .. } => coordinator::claimed(node, *id, ClaimReply::Uncertain),
@@ -390,7 +390,7 @@
         .map(|(id, _)| *id)
         .collect();
     for id in lost {
-        entry_driver::deliver(node, id, Event::Lost(id));
+        entry_driver::deliver(node, id, Event::ConnectionLost(id));
     }
     questions_lost(node, vm);
 }
--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -166,16 +166,16 @@
         match event {
             Event::Begin => self.begin(now, entry),
             Event::Expired => self.expired(entry),
-            Event::HungUp => self.hung_up(entry),
+            Event::CallerDisconnected => self.hung_up(entry),
             Event::Refused(id, refusal) => self.refused(now, id, refusal, entry),
             Event::Revoked(id) => self.revoked(now, id, entry),
             Event::Answered { id, answer, error } => self.answered(now, id, answer, error, entry),
-            Event::Broken(id) | Event::Gone(id) => self.broken(now, id, entry),
-            Event::Ended { id, order } => self.ended(now, id, order, entry),
+            Event::Broken(id) | Event::NodeGone(id) => self.broken(now, id, entry),
+            Event::UpstreamTerminated { id, order } => self.ended(now, id, order, entry),
             Event::NotSent(id) => self.not_sent(now, id, entry),
-            Event::Lost(id) => self.lost(now, id, entry),
-            Event::Told(id, reply) => self.told(now, id, reply, entry),
-            Event::Silent(id) => self.silent(now, id, entry),
+            Event::ConnectionLost(id) => self.lost(now, id, entry),
+            Event::QueryReplied(id, reply) => self.told(now, id, reply, entry),
+            Event::NodeUnresponsive(id) => self.silent(now, id, entry),
             Event::Straggles(id) => self.straggles(now, id, entry),
         }
     }
@@ -369,7 +369,7 @@
             return self.broken(now, id, entry);
         }
         self.state = State::Asking { id, to: to.clone() };
-        vec![Action::Ask { id, to }]
+        vec![Action::Query { id, to }]
     }
 
     fn told(
--- a/components/entry/src/call/hedge.rs
+++ b/components/entry/src/call/hedge.rs
@@ -212,7 +212,7 @@
                 actions.extend(self.expired(entry));
                 actions
             }
-            Event::HungUp => {
+            Event::CallerDisconnected => {
                 let mut actions = self.cancel_second(entry);
                 actions.extend(self.hung_up(entry));
                 actions
@@ -246,24 +246,24 @@
                 }
                 Vec::new()
             }
-            Event::Broken(id) | Event::Gone(id) => {
+            Event::Broken(id) | Event::NodeGone(id) => {
                 self.one_broken(now, id, entry);
                 Vec::new()
             }
-            Event::Lost(id) => {
+            Event::ConnectionLost(id) => {
                 if let Some(vm) = self.one_broken(now, id, entry) {
                     entry.mark_unresponsive(now, &vm);
                 }
                 Vec::new()
             }
-            Event::Silent(id) => {
+            Event::NodeUnresponsive(id) => {
                 let Some(vm) = self.one_broken(now, id, entry) else {
                     return Vec::new();
                 };
                 entry.mark_unresponsive(now, &vm);
                 vec![Action::Cancel { id, to: vm }]
             }
-            Event::Ended { id, order } => {
+            Event::UpstreamTerminated { id, order } => {
                 // The other attempt is the one more run that such a request may have.
                 if let Some(vm) = self.failed(id, Failure::Ran, entry) {
                     self.maybe_ran = true;
@@ -273,7 +273,7 @@
                 Vec::new()
             }
             // Only requests that may not be repeated are asked after.
-            Event::Told(..) => self.dropped(),
+            Event::QueryReplied(..) => self.dropped(),
         }
     }
 
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -50,7 +50,7 @@
     /// The upstream broke off: the attempt ran, and there is no whole answer.
     Broken(AttemptId),
     /// The upstream ended while it ran the attempt.
-    Ended {
+    UpstreamTerminated {
         /// The attempt that ran.
         id: AttemptId,
         /// The VMs at which the request may run now, the best first; none when it is held.
@@ -59,19 +59,19 @@
     /// No byte of the offer left this node.
     NotSent(AttemptId),
     /// The connection to the home node broke after the offer was sent.
-    Lost(AttemptId),
+    ConnectionLost(AttemptId),
     /// The home duty's answer to a question.
-    Told(AttemptId, QueryReply<A>),
+    QueryReplied(AttemptId, QueryReply<A>),
     /// The home duty that had the attempt is gone or can't be reached.
-    Gone(AttemptId),
+    NodeGone(AttemptId),
     /// The home node does not answer heartbeats.
-    Silent(AttemptId),
+    NodeUnresponsive(AttemptId),
     /// The attempt's run takes much longer than usual.
     Straggles(AttemptId),
     /// The caller's deadline passed.
     Expired,
     /// The caller closed its connection.
-    HungUp,
+    CallerDisconnected,
 }
 
 impl<A> Event<A> {
@@ -88,15 +88,15 @@
             Event::Revoked(_) => "handed-back",
             Event::Answered { .. } => "answered",
             Event::Broken(_) => "broken",
-            Event::Ended { .. } => "upstream-ended",
+            Event::UpstreamTerminated { .. } => "upstream-ended",
             Event::NotSent(_) => "not-sent",
-            Event::Lost(_) => "lost",
-            Event::Told(..) => "told",
-            Event::Gone(_) => "gone",
-            Event::Silent(_) => "silent",
+            Event::ConnectionLost(_) => "lost",
+            Event::QueryReplied(..) => "told",
+            Event::NodeGone(_) => "gone",
+            Event::NodeUnresponsive(_) => "silent",
             Event::Straggles(_) => "straggles",
             Event::Expired => "expired",
-            Event::HungUp => "hung-up",
+            Event::CallerDisconnected => "hung-up",
         }
     }
 }
@@ -118,7 +118,7 @@
         suspicion: Suspicion,
     },
     /// Ask the home duty beside `to` about the attempt.
-    Ask {
+    Query {
         /// The attempt.
         id: AttemptId,
         /// The VM.
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -62,9 +62,9 @@
             Body::Broken(id) => (id, Event::Broken(id)),
             Body::Ended(id) => {
                 let order = (0..self.homes.len()).map(vm).collect();
-                (id, Event::Ended { id, order })
+                (id, Event::UpstreamTerminated { id, order })
             }
-            Body::Told(id, reply) => (id, Event::Told(id, reply)),
+            Body::Told(id, reply) => (id, Event::QueryReplied(id, reply)),
             Body::Straggles(id) => (id, Event::Straggles(id)),
             other => panic!("{other:?} is no reply"),
         };
@@ -108,7 +108,7 @@
         };
         let is_straggler = matches!(event, Event::Straggles(_));
         let ended = match &event {
-            Event::Ended { id, .. } => node.attempts.get(id).map(|(_, home, _)| *home),
+            Event::UpstreamTerminated { id, .. } => node.attempts.get(id).map(|(_, home, _)| *home),
             _ => None,
         };
         let late = call.late();
@@ -171,7 +171,7 @@
                 };
                 self.send(entry, home, Body::Offer(offer));
             }
-            Action::Ask { id, to } => {
+            Action::Query { id, to } => {
                 let (_, _, boot) = self.entries[entry].attempts[&id];
                 self.send(entry, index(&to), Body::Ask(id, boot));
             }
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -211,7 +211,7 @@
             .map(|(id, (call, _, _))| (*id, *call))
             .collect();
         for (id, call) in lost {
-            self.step_call(entry, call, Event::Lost(id));
+            self.step_call(entry, call, Event::ConnectionLost(id));
         }
     }
 
@@ -225,7 +225,7 @@
             .map(|(id, (call, _, _))| (*id, *call))
             .collect();
         for (id, call) in waiting {
-            self.step_call(entry, call, Event::Silent(id));
+            self.step_call(entry, call, Event::NodeUnresponsive(id));
         }
     }
 
@@ -348,7 +348,7 @@
             .collect();
         if let Some(call) = open.get(pick % open.len().max(1)) {
             self.oracle.abandoned.insert(*call);
-            self.step_call(entry, *call, Event::HungUp);
+            self.step_call(entry, *call, Event::CallerDisconnected);
         }
     }
 
--- a/components/entry/tests/hedge/conditions.rs
+++ b/components/entry/tests/hedge/conditions.rs
@@ -55,7 +55,7 @@
     let mut site = Site::of(three, &NEAR, entry(3));
     let order = vec![Name::from("b"), Name::from("c")];
     let id = site.first.0;
-    let actions = site.step(Event::Ended { id, order });
+    let actions = site.step(Event::UpstreamTerminated { id, order });
     let (id, to, ..) = offer(&actions).expect("it runs once more");
     site.first = (id, to);
     assert_eq!(site.straggle(), Err(HedgeRefusal::NotAllowed));
@@ -180,8 +180,8 @@
         Event::Revoked(id),
         Event::Broken(id),
         Event::NotSent(id),
-        Event::Gone(id),
-        Event::Lost(id),
+        Event::NodeGone(id),
+        Event::ConnectionLost(id),
     ];
     assert!(ends.iter().all(|event| !event.is_report()));
 }
--- a/components/entry/tests/hedge/outcomes.rs
+++ b/components/entry/tests/hedge/outcomes.rs
@@ -43,9 +43,9 @@
     let failures: [fn(AttemptId) -> Event<u64>; 9] = [
         |id| failed(id, 1),
         Event::Broken,
-        Event::Gone,
-        Event::Lost,
-        Event::Silent,
+        Event::NodeGone,
+        Event::ConnectionLost,
+        Event::NodeUnresponsive,
         Event::NotSent,
         Event::Revoked,
         |id| Event::Refused(id, refusal(Reason::Shed)),
@@ -62,7 +62,7 @@
             };
             let actions = site.step(failure(fails));
             assert!(outcome(&actions).is_none() && offer(&actions).is_none());
-            let was_silent = matches!(failure(fails), Event::Silent(_));
+            let was_silent = matches!(failure(fails), Event::NodeUnresponsive(_));
             assert_eq!(cancels(&actions).len(), usize::from(was_silent), "{i}");
             assert_eq!(site.outstanding(), 1);
             let actions = site.step(answered(goes_on, 7));
@@ -87,7 +87,7 @@
     let mut site = Site::new();
     let (first, second) = site.hedged();
     site.step(Event::Broken(second));
-    let actions = site.step(Event::Lost(first));
+    let actions = site.step(Event::ConnectionLost(first));
     assert_eq!(outcome(&actions), Some(Outcome::Unknown(Reason::Lost)));
     let mut site = Site::new();
     let (first, second) = site.hedged();
@@ -114,7 +114,7 @@
     assert!(!site.has_budget(), "an upstream has seen it");
     let mut site = Site::new();
     let (_, second) = site.hedged();
-    site.step(Event::Lost(second));
+    site.step(Event::ConnectionLost(second));
     assert!(!site.has_budget(), "it may have arrived");
 }
 
@@ -206,7 +206,7 @@
 fn a_caller_that_hangs_up_and_a_deadline_that_passes_cancel_both_attempts() {
     let mut site = Site::new();
     let (first, second) = site.hedged();
-    let actions = site.step(Event::HungUp);
+    let actions = site.step(Event::CallerDisconnected);
     assert_eq!(outcome(&actions), None);
     let mut cancelled = cancels(&actions);
     cancelled.sort_unstable();
@@ -240,7 +240,7 @@
             (first, second)
         };
         let order = vec![Name::from("a"), Name::from("b"), Name::from("c")];
-        let ended = |id| Event::Ended {
+        let ended = |id| Event::UpstreamTerminated {
             id,
             order: order.clone(),
         };
--- a/components/entry/tests/hedge/shortage.rs
+++ b/components/entry/tests/hedge/shortage.rs
@@ -86,8 +86,11 @@
 /// Guards against a shortage that goes unnoticed because callers give up before the refusals of their requests arrive.
 #[test]
 fn a_refusal_that_arrives_after_its_call_has_left_the_attempt_counts_once() {
-    let leaves: [fn(AttemptId) -> Event<u64>; 3] =
-        [|_| Event::HungUp, |_| Event::Expired, Event::Silent];
+    let leaves: [fn(AttemptId) -> Event<u64>; 3] = [
+        |_| Event::CallerDisconnected,
+        |_| Event::Expired,
+        Event::NodeUnresponsive,
+    ];
     for leave in leaves {
         let mut site = Site::of(treatment(), &NEAR, entry(3));
         let (mut other, id) = queueing(&mut site);
@@ -125,14 +128,14 @@
 fn only_a_late_refusal_as_busy_of_an_offer_that_might_queue_counts() {
     let mut site = Site::new();
     let (mut other, id) = queueing(&mut site);
-    other.step(START, Event::HungUp, &mut site.entry);
+    other.step(START, Event::CallerDisconnected, &mut site.entry);
     let entry = &mut site.entry;
     assert!(!entry.on_late_refusal(START, id, &refusal(Reason::Leaving)));
     let mut other = call_of(treatment(), &NEAR);
     let actions = other.step(START, Event::Begin, entry);
     let (id, _, may_queue, _) = offer(&actions).expect("an offer");
     assert!(!may_queue);
-    other.step(START, Event::HungUp, entry);
+    other.step(START, Event::CallerDisconnected, entry);
     assert!(!entry.on_late_refusal(START, id, &refusal(Reason::Busy)));
     assert!(site.straggle().is_ok());
 }
--- a/components/entry/tests/hedge/site.rs
+++ b/components/entry/tests/hedge/site.rs
@@ -43,7 +43,7 @@
     for _ in 0..repeats * 10 {
         let mut call = call_of(treatment(), &NEAR);
         call.step(Moment(1), Event::Begin, &mut entry);
-        call.step(Moment(1), Event::HungUp, &mut entry);
+        call.step(Moment(1), Event::CallerDisconnected, &mut entry);
     }
     entry
 }
--- a/components/entry/tests/hedge/walks.rs
+++ b/components/entry/tests/hedge/walks.rs
@@ -58,19 +58,19 @@
         Step::Refused(pick, reason) => Event::Refused(id(pick), refusal(*reason)),
         Step::Revoked(pick) => Event::Revoked(id(pick)),
         Step::Broken(pick) => Event::Broken(id(pick)),
-        Step::Lost(pick) => Event::Lost(id(pick)),
-        Step::Silent(pick) => Event::Silent(id(pick)),
+        Step::Lost(pick) => Event::ConnectionLost(id(pick)),
+        Step::Silent(pick) => Event::NodeUnresponsive(id(pick)),
         Step::NotSent(pick) => Event::NotSent(id(pick)),
         Step::Ended(pick, held) => {
             let order = if *held { &[][..] } else { &NEAR[..] };
             let order = order.iter().map(|vm| Name::from(*vm)).collect();
-            Event::Ended {
+            Event::UpstreamTerminated {
                 id: id(pick),
                 order,
             }
         }
         Step::Expired => Event::Expired,
-        Step::HungUp => Event::HungUp,
+        Step::HungUp => Event::CallerDisconnected,
         Step::Wait(_) => return None,
     })
 }
@@ -143,10 +143,10 @@
             let was_done = site.call.is_done();
             let straggles = matches!(event, Event::Straggles(_));
             let ended = match &event {
-                Event::Straggles(_) | Event::Expired | Event::HungUp => None,
-                Event::Silent(_) if !site.call.may_hedge() && site.outstanding() == 1 => None,
-                Event::Answered { id, .. } | Event::Ended { id, .. } | Event::Refused(id, _) => Some(*id),
-                Event::Revoked(id) | Event::Broken(id) | Event::Lost(id) | Event::NotSent(id) => Some(*id),
+                Event::Straggles(_) | Event::Expired | Event::CallerDisconnected => None,
+                Event::NodeUnresponsive(_) if !site.call.may_hedge() && site.outstanding() == 1 => None,
+                Event::Answered { id, .. } | Event::UpstreamTerminated { id, .. } | Event::Refused(id, _) => Some(*id),
+                Event::Revoked(id) | Event::Broken(id) | Event::ConnectionLost(id) | Event::NotSent(id) => Some(*id),
                 _ => None,
             };
             let was_open = |id: &AttemptId| open.contains(id);
@@ -154,7 +154,7 @@
             let actions = site.step(event.clone());
             prop_assert!(!was_done || actions.is_empty());
             // A request that may not be repeated is asked after before it is given up.
-            let asks = actions.iter().any(|action| matches!(action, Action::Ask { .. }));
+            let asks = actions.iter().any(|action| matches!(action, Action::Query { .. }));
             if !asks {
                 if closes.is_some() {
                     seen.ended(&event);
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -333,7 +333,7 @@
                 Action::Cancel { id, to } => {
                     self.put(now + WAY_US, Happening::Cancelled(index(&to), id));
                 }
-                Action::Ask { .. } => panic!("all requests may be repeated"),
+                Action::Query { .. } => panic!("all requests may be repeated"),
                 Action::Finish(outcome) => self.finished(request, &outcome),
             }
         }
--- a/components/entry/tests/priced.rs
+++ b/components/entry/tests/priced.rs
@@ -229,7 +229,7 @@
             panic!("{actions:?}");
         };
         *chosen.entry(to.to_string()).or_insert(0) += 1;
-        call.step(later, Event::HungUp, &mut entry);
+        call.step(later, Event::CallerDisconnected, &mut entry);
     }
     assert_eq!(chosen.len(), 4, "{chosen:?}");
     assert!(chosen.values().all(|count| *count < 350), "{chosen:?}");
@@ -249,7 +249,7 @@
         let mut call = call_among(3).with_price(Price::of(5, 180 * MILLISECOND, false));
         let actions = call.step(NOW, Event::Begin, &mut entry);
         assert!(!goes_to(&actions, "near-0"), "{actions:?}");
-        call.step(NOW, Event::HungUp, &mut entry);
+        call.step(NOW, Event::CallerDisconnected, &mut entry);
     }
 }
 
--- a/components/entry/tests/retry_bound.rs
+++ b/components/entry/tests/retry_bound.rs
@@ -353,7 +353,7 @@
     for _ in 0..requests {
         let mut earlier: Call<u64> = call();
         earlier.step(Moment(1), Event::Begin, &mut entry);
-        earlier.step(Moment(1), Event::HungUp, &mut entry);
+        earlier.step(Moment(1), Event::CallerDisconnected, &mut entry);
     }
     (call(), entry)
 }
--- a/components/entry/tests/suspect.rs
+++ b/components/entry/tests/suspect.rs
@@ -13,7 +13,7 @@
     for _ in 0..50 {
         let mut call = call(true);
         call.step(NOW, Event::Begin, &mut entry);
-        call.step(NOW, Event::HungUp, &mut entry);
+        call.step(NOW, Event::CallerDisconnected, &mut entry);
     }
     entry
 }
@@ -69,7 +69,7 @@
     let (id, _, suspicion) = offered(&call.step(NOW, Event::Begin, &mut entry));
     assert_eq!(suspicion, Suspicion::None);
     let order = order(&["d", "e"]);
-    let event = Event::Ended { id, order };
+    let event = Event::UpstreamTerminated { id, order };
     let (id, to, suspicion) = offered(&call.step(NOW, event, &mut entry));
     assert_eq!((to.as_str(), suspicion), ("d", Suspicion::Alone));
     let answered = Event::Answered {
@@ -86,13 +86,13 @@
     let mut entry = entry();
     let mut call = call(true);
     let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
-    let event = Event::Ended {
+    let event = Event::UpstreamTerminated {
         id,
         order: order(&["d", "e"]),
     };
     let (id, ..) = offered(&call.step(NOW, event, &mut entry));
     // What the others know of it does not matter: this one call has done enough.
-    let event = Event::Ended {
+    let event = Event::UpstreamTerminated {
         id,
         order: order(&["e", "f"]),
     };
@@ -105,7 +105,7 @@
     let mut entry = entry();
     let mut call = call(true);
     let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
-    let event = Event::Ended {
+    let event = Event::UpstreamTerminated {
         id,
         order: Vec::new(),
     };
@@ -118,7 +118,7 @@
     let mut entry = entry();
     let mut call = call(false);
     let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
-    let event = Event::Ended {
+    let event = Event::UpstreamTerminated {
         id,
         order: order(&["d", "e"]),
     };
@@ -165,7 +165,7 @@
     let mut entry = entry();
     let mut call = call(true);
     let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
-    let event = Event::Ended {
+    let event = Event::UpstreamTerminated {
         id,
         order: order(&["d"]),
     };
@@ -202,7 +202,7 @@
         let other = VMS.iter().find(|vm| **vm != first_to && **vm != second_to);
         let other = *other.expect("a third upstream");
         let order = order(&[&first_to, &second_to, other]);
-        let event = Event::Ended { id: ends, order };
+        let event = Event::UpstreamTerminated { id: ends, order };
         assert!(call.step(NOW + 61_000, event, &mut entry).is_empty());
         let busy = Event::Refused(goes_on, refusal(Reason::Busy));
         let (_, to, suspicion) = offered(&call.step(NOW + 62_000, busy, &mut entry));
--- a/components/model/src/world/entry_side.rs
+++ b/components/model/src/world/entry_side.rs
@@ -121,7 +121,7 @@
                     self.send(from, vm_of(&to), Message::Cancel(id));
                 }
                 // Nothing is lost on the way here.
-                Action::Ask { .. } => {}
+                Action::Query { .. } => {}
                 Action::Finish(outcome) => self.finished(req, &outcome),
             }
         }
--- a/components/model/src/world/home_side.rs
+++ b/components/model/src/world/home_side.rs
@@ -136,7 +136,7 @@
         let answer = (verdict != Verdict::Cancelled).then_some(is_good);
         let actions = node.home.completed(self.now, id, verdict, answer);
         for call in run.calls {
-            self.step(call, Event::HungUp);
+            self.step(call, Event::CallerDisconnected);
         }
         let event = match answer {
             Some(answer) => Event::Answered {
