--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -56,8 +56,8 @@
                 let treatment = Treatment {
                     repeatable: true,
                     priority: 1,
-                    attempts: 2,
-                    arrivals: 2,
+                    max_runs: 2,
+                    max_arrivals: 2,
                     origin: Origin::Client,
                 };
                 let mut call: Call<u64> =
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -114,8 +114,8 @@
     let treatment = Treatment {
         repeatable: ruled.repeatable,
         priority: priority(&ruled, &call, admitted.account.as_deref()),
-        attempts: attempts(&ruled, call.level),
-        arrivals: ruled.attempts.max(LEAST_ARRIVALS),
+        max_runs: attempts(&ruled, call.level),
+        max_arrivals: ruled.attempts.max(LEAST_ARRIVALS),
         origin: origin(&call),
     };
     let key = call.key.clone().filter(|_| !ruled.repeatable);
@@ -194,8 +194,8 @@
     let treatment = Treatment {
         repeatable: ruled.repeatable,
         priority,
-        attempts: attempts(ruled, call.level),
-        arrivals: ruled.attempts,
+        max_runs: attempts(ruled, call.level),
+        max_arrivals: ruled.attempts,
         origin: origin(&call),
     };
     if is_inner {
@@ -390,9 +390,9 @@
 
 fn origin(call: &CallerRequest) -> Origin {
     match &call.parent {
-        Some(parent) if parent.repeat => Origin::Repeat,
-        Some(_) => Origin::Run,
-        None if call.level > 0 => Origin::Run,
+        Some(parent) if parent.repeat => Origin::UpstreamRepeat,
+        Some(_) => Origin::Upstream,
+        None if call.level > 0 => Origin::Upstream,
         None => Origin::Client,
     }
 }
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -217,8 +217,8 @@
         let treatment = Treatment {
             repeatable: false,
             priority: self.relay.priority,
-            attempts: 1,
-            arrivals: MOST_ARRIVALS,
+            max_runs: 1,
+            max_arrivals: MOST_ARRIVALS,
             origin: Origin::Client,
         };
         let plan = Plan {
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -82,7 +82,7 @@
     .with_price(price)
     .with_reserve(plan.reserve);
     let call = match plan.order {
-        Some(order) => call.with_order(order),
+        Some(order) => call.with_suspect_order(order),
         None => call,
     };
     let mut running = Running {
@@ -107,7 +107,7 @@
     }
     Finished {
         outcome,
-        contacted: running.call.was_contacted(),
+        contacted: running.call.has_certain_refusal(),
     }
 }
 
--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -125,7 +125,7 @@
 
     /// Sets that an upstream ended while it ran a copy of the request, and the VMs at which it may run, the best
     /// first.
-    pub fn with_order(mut self, order: Vec<Name>) -> Call<A> {
+    pub fn with_suspect_order(mut self, order: Vec<Name>) -> Call<A> {
         self.suspect = Some(Suspect::new(order));
         self
     }
@@ -141,12 +141,12 @@
     }
 
     /// Whether any home duty that knows the call's idempotency key refused an offer.
-    pub fn was_contacted(&self) -> bool {
+    pub fn has_certain_refusal(&self) -> bool {
         self.contacted
     }
 
     /// Events dropped because their attempt was no longer the call's.
-    pub fn late(&self) -> u64 {
+    pub fn late_events(&self) -> u64 {
         self.late
     }
 
@@ -183,8 +183,8 @@
     fn begin(&mut self, now: Moment, entry: &mut Entry) -> Vec<Action<A>> {
         match self.treatment.origin {
             Origin::Client => entry.deposit_retry(&self.service),
-            Origin::Run => {}
-            Origin::Repeat => entry.charge_retry(&self.service),
+            Origin::Upstream => {}
+            Origin::UpstreamRepeat => entry.charge_retry(&self.service),
         }
         self.next(now, entry)
     }
@@ -228,7 +228,7 @@
         self.offers += 1;
         self.offered_at = now;
         self.state = State::Waiting { id, to: to.clone() };
-        let repeat = self.arrivals > 0 || self.treatment.origin == Origin::Repeat;
+        let repeat = self.arrivals > 0 || self.treatment.origin == Origin::UpstreamRepeat;
         vec![Action::Offer {
             id,
             to,
--- a/components/entry/src/call/hedge.rs
+++ b/components/entry/src/call/hedge.rs
@@ -85,8 +85,8 @@
             && self.suspect.is_none()
             && !self.hedge_forbidden
             && self.second == Second::None
-            && self.runs + 1 < self.treatment.attempts
-            && self.arrivals + 1 < self.treatment.arrivals
+            && self.runs + 1 < self.treatment.max_runs
+            && self.arrivals + 1 < self.treatment.max_arrivals
     }
 
     /// Forbids a second attempt: an upstream ended under another copy of the request since the call began.
--- a/components/entry/src/call/repeats.rs
+++ b/components/entry/src/call/repeats.rs
@@ -7,14 +7,14 @@
     /// Whether another run is within the policy, the call's level and the service's budget.
     pub(super) fn may_retry(&mut self, entry: &mut Entry) -> bool {
         self.treatment.repeatable
-            && self.runs < self.treatment.attempts
+            && self.runs < self.treatment.max_runs
             && self.may_reach_another(entry)
     }
 
     /// Whether another upstream may see the request. What it costs is taken out of the service's
     /// budget, once for each upstream after the first.
     pub(super) fn may_reach_another(&mut self, entry: &mut Entry) -> bool {
-        if self.arrivals >= self.treatment.arrivals || !entry.spend_retry(&self.service) {
+        if self.arrivals >= self.treatment.max_arrivals || !entry.spend_retry(&self.service) {
             return false;
         }
         self.repeat_paid = true;
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -11,9 +11,9 @@
     /// Priority; a higher number is served first.
     pub priority: u8,
     /// Runs of a repeatable request at most, counting the first.
-    pub attempts: u32,
+    pub max_runs: u32,
     /// Upstreams that may see the request at most, counting those that turned it away unrun.
-    pub arrivals: u32,
+    pub max_arrivals: u32,
     /// Who sent the request.
     pub origin: Origin,
 }
@@ -24,9 +24,9 @@
     /// A client.
     Client,
     /// An upstream, for a request that it runs.
-    Run,
+    Upstream,
     /// An upstream, for a request that another one has seen before: the call is a repeat too.
-    Repeat,
+    UpstreamRepeat,
 }
 
 /// Something that happened to a call.
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -111,9 +111,9 @@
             Event::UpstreamTerminated { id, .. } => node.attempts.get(id).map(|(_, home, _)| *home),
             _ => None,
         };
-        let late = call.late();
+        let late = call.late_events();
         let actions = call.step(now, event, &mut node.duty);
-        if let Some(home) = ended.filter(|_| call.late() == late) {
+        if let Some(home) = ended.filter(|_| call.late_events() == late) {
             self.oracle.ended.insert((id, home));
         }
         let offers = |action: &Action<CallId>| matches!(action, Action::Offer { .. });
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -173,8 +173,8 @@
         let treatment = Treatment {
             repeatable: !once,
             priority: 1,
-            attempts: if once { 1 } else { 2 },
-            arrivals: 2,
+            max_runs: if once { 1 } else { 2 },
+            max_arrivals: 2,
             origin: Origin::Client,
         };
         let call = Call::new("s".into(), treatment, self.now + DEADLINE_US, candidates);
--- a/components/entry/tests/hedge/conditions.rs
+++ b/components/entry/tests/hedge/conditions.rs
@@ -33,10 +33,10 @@
 /// Guards against more runs than the policy allows.
 #[test]
 fn a_request_whose_policy_allows_one_run_gets_no_second_attempt() {
-    for (attempts, arrivals) in [(1, 2), (2, 1)] {
+    for (max_runs, max_arrivals) in [(1, 2), (2, 1)] {
         let few = Treatment {
-            attempts,
-            arrivals,
+            max_runs,
+            max_arrivals,
             ..treatment()
         };
         let mut site = Site::of(few, &NEAR, entry(3));
@@ -48,8 +48,8 @@
 #[test]
 fn a_request_under_suspicion_gets_no_second_attempt() {
     let three = Treatment {
-        attempts: 3,
-        arrivals: 3,
+        max_runs: 3,
+        max_arrivals: 3,
         ..treatment()
     };
     let mut site = Site::of(three, &NEAR, entry(3));
--- a/components/entry/tests/hedge/outcomes.rs
+++ b/components/entry/tests/hedge/outcomes.rs
@@ -28,11 +28,11 @@
         };
         assert_eq!(site.decision(), Some(decision));
         assert_eq!(site.outstanding(), 0);
-        assert_eq!(site.call.late(), 0);
+        assert_eq!(site.call.late_events(), 0);
         for event in [answered(loser, 8), Event::Broken(loser)] {
             assert!(site.step(event).is_empty());
         }
-        assert_eq!(site.call.late(), 2);
+        assert_eq!(site.call.late_events(), 2);
         assert!(!site.has_budget(), "the loser may have arrived");
     }
 }
@@ -155,8 +155,8 @@
 #[test]
 fn a_second_attempt_that_went_on_alone_and_was_refused_goes_elsewhere_for_the_same_price() {
     let three = Treatment {
-        attempts: 3,
-        arrivals: 3,
+        max_runs: 3,
+        max_arrivals: 3,
         ..treatment()
     };
     let mut site = Site::of(three, &NEAR, entry(1));
@@ -186,8 +186,8 @@
 #[test]
 fn a_repeat_that_straggles_and_loses_stays_paid_for() {
     let four = Treatment {
-        attempts: 4,
-        arrivals: 4,
+        max_runs: 4,
+        max_arrivals: 4,
         ..treatment()
     };
     let mut site = Site::of(four, &NEAR, entry(2));
@@ -228,8 +228,8 @@
 fn when_an_upstream_ends_under_one_of_two_attempts_the_other_is_the_last() {
     for second_ends in [false, true] {
         let many = Treatment {
-            attempts: 4,
-            arrivals: 4,
+            max_runs: 4,
+            max_arrivals: 4,
             ..treatment()
         };
         let mut site = Site::of(many, &NEAR, entry(3));
--- a/components/entry/tests/hedge/site.rs
+++ b/components/entry/tests/hedge/site.rs
@@ -17,8 +17,8 @@
     Treatment {
         repeatable: true,
         priority: 5,
-        attempts: 2,
-        arrivals: 2,
+        max_runs: 2,
+        max_arrivals: 2,
         origin: Origin::Client,
     }
 }
@@ -154,7 +154,7 @@
     pub fn has_budget(&mut self) -> bool {
         let once = Treatment {
             repeatable: false,
-            origin: Origin::Run,
+            origin: Origin::Upstream,
             ..treatment()
         };
         let mut probe = call_of(once, &NEAR);
@@ -180,7 +180,7 @@
         }
         let once = Treatment {
             repeatable: false,
-            origin: Origin::Run,
+            origin: Origin::Upstream,
             ..treatment()
         };
         let mut repeats = 0;
--- a/components/entry/tests/hedge/walks.rs
+++ b/components/entry/tests/hedge/walks.rs
@@ -126,9 +126,9 @@
     fn whatever_comes_at_most_two_attempts_are_at_work_the_outcome_is_true_and_repeats_are_paid_for(
         steps in prop::collection::vec(step(), 1..25),
         repeatable in any::<bool>(),
-        attempts in 1..4u32,
+        max_runs in 1..4u32,
     ) {
-        let treatment = Treatment { repeatable, attempts, arrivals: attempts.max(2), ..treatment() };
+        let treatment = Treatment { repeatable, max_runs, max_arrivals: max_runs.max(2), ..treatment() };
         let mut site = Site::of(treatment, &NEAR, entry(EARNED));
         let mut ids = vec![site.first.0];
         let mut open = ids.clone();
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -215,8 +215,8 @@
             let treatment = Treatment {
                 repeatable: true,
                 priority: 5,
-                attempts: 2,
-                arrivals: 2,
+                max_runs: 2,
+                max_arrivals: 2,
                 origin: Origin::Client,
             };
             let deadline = at + class.deadline_ms * MILLISECOND;
--- a/components/entry/tests/priced.rs
+++ b/components/entry/tests/priced.rs
@@ -37,8 +37,8 @@
     let treatment = Treatment {
         repeatable: true,
         priority: 5,
-        attempts: 2,
-        arrivals: 2,
+        max_runs: 2,
+        max_arrivals: 2,
         origin: Origin::Client,
     };
     let price = Price {
@@ -82,8 +82,8 @@
     let treatment = Treatment {
         repeatable: true,
         priority: 5,
-        attempts: 2,
-        arrivals: 2,
+        max_runs: 2,
+        max_arrivals: 2,
         origin: Origin::Client,
     };
     let candidates = vec![candidate("far", false)];
@@ -122,8 +122,8 @@
     let treatment = Treatment {
         repeatable: false,
         priority: 5,
-        attempts: 2,
-        arrivals: 2,
+        max_runs: 2,
+        max_arrivals: 2,
         origin: Origin::Client,
     };
     let price = Price {
@@ -306,8 +306,8 @@
     let treatment = Treatment {
         repeatable: false,
         priority: 5,
-        attempts: 1,
-        arrivals: 1,
+        max_runs: 1,
+        max_arrivals: 1,
         origin: Origin::Client,
     };
     let candidates = vec![candidate("near", true)];
@@ -347,8 +347,8 @@
     let treatment = Treatment {
         repeatable: true,
         priority: 5,
-        attempts: 2,
-        arrivals: 2,
+        max_runs: 2,
+        max_arrivals: 2,
         origin: Origin::Client,
     };
     let price = Price {
--- a/components/entry/tests/retry_bound.rs
+++ b/components/entry/tests/retry_bound.rs
@@ -195,8 +195,8 @@
         let treatment = Treatment {
             repeatable: !once,
             priority: 1,
-            attempts: 2,
-            arrivals: 2,
+            max_runs: 2,
+            max_arrivals: 2,
             origin,
         };
         let candidates = (0..UPSTREAMS).map(candidate).collect();
@@ -225,7 +225,7 @@
                     continue;
                 }
                 let now = self.now;
-                if seen || origin == Origin::Repeat {
+                if seen || origin == Origin::UpstreamRepeat {
                     assert!(repeat, "an upstream is not told that a request is a repeat");
                     self.arrivals(service).repeats.push_back(now);
                 }
@@ -236,7 +236,11 @@
                 seen = true;
                 let does = self.does(load);
                 if does != Does::Sheds && service == "outer" {
-                    let origin = if repeat { Origin::Repeat } else { Origin::Run };
+                    let origin = if repeat {
+                        Origin::UpstreamRepeat
+                    } else {
+                        Origin::Upstream
+                    };
                     self.request(home_of(&to), "inner", origin, false, load);
                 }
                 running.push((id, does));
@@ -337,8 +341,8 @@
     let treatment = Treatment {
         repeatable: false,
         priority: 1,
-        attempts: 1,
-        arrivals: 2,
+        max_runs: 1,
+        max_arrivals: 2,
         origin: Origin::Client,
     };
     let call = || {
@@ -400,9 +404,9 @@
     let treatment = Treatment {
         repeatable: false,
         priority: 1,
-        attempts: 1,
-        arrivals: 2,
-        origin: Origin::Run,
+        max_runs: 1,
+        max_arrivals: 2,
+        origin: Origin::Upstream,
     };
     let candidates = (0..UPSTREAMS).map(candidate).collect();
     let mut next = Call::new("s".into(), treatment, Moment(9 * SECOND), candidates);
--- a/components/entry/tests/suspect.rs
+++ b/components/entry/tests/suspect.rs
@@ -27,8 +27,8 @@
     let treatment = Treatment {
         repeatable,
         priority: 5,
-        attempts: 3,
-        arrivals: 3,
+        max_runs: 3,
+        max_arrivals: 3,
         origin: Origin::Client,
     };
     Call::new("s".into(), treatment, NOW + 9_000_000, candidates.to_vec())
@@ -129,7 +129,7 @@
 #[test]
 fn a_copy_is_offered_alone_then_beside_others_and_never_out_of_its_order() {
     let mut entry = entry();
-    let mut call = call(true).with_order(order(&["d", "e"]));
+    let mut call = call(true).with_suspect_order(order(&["d", "e"]));
     let busy = |id| Event::Refused(id, refusal(Reason::Busy));
     let (id, to, suspicion) = offered(&call.step(NOW, Event::Begin, &mut entry));
     assert_eq!((to.as_str(), suspicion), ("d", Suspicion::Alone));
@@ -150,7 +150,7 @@
 #[test]
 fn a_copy_beside_one_that_runs_is_not_run_and_says_so() {
     let mut entry = entry();
-    let mut call = call(true).with_order(order(&["d", "e"]));
+    let mut call = call(true).with_suspect_order(order(&["d", "e"]));
     let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
     let refused = Event::Refused(id, refusal(Reason::Quarantined));
     let actions = call.step(NOW, refused, &mut entry);
@@ -178,7 +178,7 @@
 #[test]
 fn a_vm_that_can_not_be_reached_is_passed_over() {
     let mut entry = entry();
-    let mut call = call(true).with_order(order(&["d", "e"]));
+    let mut call = call(true).with_suspect_order(order(&["d", "e"]));
     let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
     let (_, to, suspicion) = offered(&call.step(NOW, Event::NotSent(id), &mut entry));
     assert_eq!((to.as_str(), suspicion), ("e", Suspicion::Alone));
--- a/components/model/src/world/entry_side.rs
+++ b/components/model/src/world/entry_side.rs
@@ -39,11 +39,11 @@
         let treatment = Treatment {
             repeatable: spec.repeatable,
             priority,
-            attempts: if level == 0 { spec.attempts } else { 1 },
-            arrivals: spec.attempts,
+            max_runs: if level == 0 { spec.attempts } else { 1 },
+            max_arrivals: spec.attempts,
             origin: match asker {
                 Asker::Caller(_) => Origin::Client,
-                Asker::Run { .. } => Origin::Run,
+                Asker::Run { .. } => Origin::Upstream,
             },
         };
         let price = Price::of(priority, spec.objective_us, level > 0);
