--- a/components/entry/src/call/offers.rs
+++ b/components/entry/src/call/offers.rs
@@ -72,7 +72,7 @@
     /// A suspect that found no room goes on to the next VM in its order.
     pub(super) fn was_busy(&mut self, vm: Name) {
         if let Some(suspect) = &mut self.suspect {
-            suspect.was_busy(vm, self.suspicion);
+            suspect.on_busy(vm, self.suspicion);
         }
     }
 
@@ -106,7 +106,7 @@
     /// Makes no further offer to a VM.
     pub(super) fn close(&mut self, vm: Name) {
         if let Some(suspect) = &mut self.suspect {
-            suspect.close(vm.clone());
+            suspect.exclude(vm.clone());
         }
         self.closed.push(vm);
     }
--- a/components/entry/src/suspect.rs
+++ b/components/entry/src/suspect.rs
@@ -48,7 +48,7 @@
     }
 
     /// Takes in that a VM had no room for the request as it was offered.
-    pub fn was_busy(&mut self, vm: Name, suspicion: Suspicion) {
+    pub fn on_busy(&mut self, vm: Name, suspicion: Suspicion) {
         match suspicion {
             Suspicion::Alone => self.busy.push(vm),
             Suspicion::None | Suspicion::Shared => self.closed.push(vm),
@@ -56,7 +56,7 @@
     }
 
     /// Takes in that a VM is of no use to the request.
-    pub fn close(&mut self, vm: Name) {
+    pub fn exclude(&mut self, vm: Name) {
         self.closed.push(vm);
     }
 }
