--- a/components/home/src/cold.rs
+++ b/components/home/src/cold.rs
@@ -1,27 +1,28 @@
-//! How many starts an upstream bears that may be cold.
+//! Limits how many attempts start at an upstream that may be cold.
 //!
-//! The load that this answers: upstreams that have just started bear a few requests a second and fall over at
-//! more. Each that falls comes back cold while its load falls on the others, so that a service stays down long
-//! after what brought it down has passed.
+//! An upstream that has just started sustains a few requests a second and crashes under more. It
+//! comes back cold, and meanwhile its load goes to the other upstreams, so that a service stays
+//! down long after the original fault is over.
 //!
-//! An upstream may turn cold at any moment, and a word on it is old when it arrives. What counts is therefore how
-//! much was started since the upstream was last known to be warm: as long as that is no more than a cold one
-//! bears in a second, it bears it whatever it has turned into since.
+//! An upstream may turn cold at any time, and its last report is already old when it arrives. The
+//! limit therefore counts the starts since the upstream was last known to be warm: as long as they
+//! don't exceed what a cold upstream sustains in a second, they are safe whatever state it is in
+//! now.
 
 use names::{Moment, MILLISECOND, SECOND};
 use std::collections::VecDeque;
 
-/// Starts are counted over this time, in microseconds: a second, and what one request may take longer than
-/// another from this node to the upstream.
+/// Starts are counted over this window, in microseconds: one second, plus the maximum difference in
+/// transit time between two requests from this node to the upstream.
 pub const COLD_WINDOW_US: u64 = SECOND + 50 * MILLISECOND;
 
-/// What a cold upstream bears.
+/// The request rate that an upstream sustains while it is cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ColdCapacity {
-    /// As much as a warm one: nothing is declared of it.
+    /// As much as a warm one: no cold capacity is declared.
     #[default]
     Unlimited,
-    /// So many starts in one second.
+    /// A limited number of starts.
     Limited {
         /// Maximum starts in any second.
         starts_per_s: u32,
@@ -30,35 +31,37 @@
     },
 }
 
-/// What may have been sent before to the start of the upstream that stands here now.
+/// What earlier runs of this node may have started at the current incarnation of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PriorStarts {
-    /// Nothing: no earlier run of this node can have known it.
+    /// Nothing: no earlier run of this node can have known the incarnation.
     #[default]
     None,
-    /// As much as it bears, by an earlier run of this node that ended before this moment.
+    /// As much as it sustains, by an earlier run of this node that ended before this moment.
     Until(Moment),
-    /// The start before had the same identity: what was meant for it may have reached this one.
+    /// The previous incarnation had the same identity: requests meant for it may have reached this
+    /// one.
     SameIdentity,
-    /// As [`PriorStarts::Until`], unless the first word that came here says that the upstream is so young that no earlier one was
-    /// acknowledged.
+    /// As [`PriorStarts::Until`], unless the first report received here shows that the upstream is
+    /// too young to have had an earlier one acknowledged.
     UnlessYoung {
-        /// Up to when.
+        /// The earlier run of this node ended before this moment.
         until: Moment,
-        /// How much longer it was cold by that word, in microseconds.
+        /// How much longer the upstream was cold when it sent that report, in microseconds.
         left_us: u64,
-        /// For how long an upstream says nothing more once it was acknowledged, in microseconds.
+        /// Minimum time between an acknowledged registration and the next one, in microseconds.
         registration_gap_us: u64,
     },
 }
 
-/// A start that was never acknowledged has sent so many registrations at most within a second: it tries again a few
-/// times before it rests.
+/// Maximum registrations that an incarnation sends within a second before one is acknowledged: it
+/// retries a few times before it pauses.
 const YOUNG_REGISTRATIONS: u64 = 10;
 
 impl PriorStarts {
-    /// What follows from the first registration of a start that came here, by its number, which rises from 0 or 1.
-    /// `until`: when this run of the node began. `left_us` and `registration_gap_us` as in [`PriorStarts::UnlessYoung`].
+    /// Derives the prior starts from the sequence number of the first registration received from an
+    /// incarnation; numbers rise from 0 or 1. `until`: when this run of the node began. `left_us`
+    /// and `registration_gap_us` as in [`PriorStarts::UnlessYoung`].
     pub fn of_registration(
         sequence: u64,
         until: Moment,
@@ -82,68 +85,68 @@
 pub enum ColdAdmission {
     /// It may.
     Free,
-    /// Not before this moment, unless the upstream says that it is warm; it may be.
+    /// The upstream may be cold: nothing starts before this moment unless it reports that it is warm.
     Unconfirmed(Moment),
-    /// The upstream is cold, and bears no more before this moment.
+    /// The upstream is cold and sustains no further start before this moment.
     Full(Moment),
 }
 
-/// What is known of one upstream's warmth, and what was started there.
+/// Limits the starts at one upstream while it may be cold.
 #[derive(Debug, Clone, Default)]
 pub struct ColdLimiter {
-    bears: ColdCapacity,
+    capacity: ColdCapacity,
     /// Starts of the last window, the oldest first.
     starts: VecDeque<Moment>,
     /// When the upstream was last known to be warm.
     warm_at: Option<Moment>,
-    /// Until when it is cold by its last word.
+    /// Until when it is cold according to its last report.
     cold_until: Option<Moment>,
-    /// Whether as many as the upstream bears may have been started before this run of the node.
-    earlier: PriorStarts,
+    /// What may have been started before this run of the node.
+    prior: PriorStarts,
 }
 
 impl ColdLimiter {
-    /// Sets what the upstream bears.
-    pub fn set_cold_capacity(&mut self, bears: ColdCapacity) {
-        self.bears = bears;
+    /// Sets the request rate that the upstream sustains while it is cold.
+    pub fn set_cold_capacity(&mut self, capacity: ColdCapacity) {
+        self.capacity = capacity;
     }
 
-    /// Takes in that another run of the upstream stands here.
-    pub fn replaced(&mut self, earlier: PriorStarts) {
-        if earlier == PriorStarts::SameIdentity {
+    /// Records that another incarnation of the upstream has taken the place of the last one.
+    pub fn replaced(&mut self, prior: PriorStarts) {
+        if prior == PriorStarts::SameIdentity {
             return;
         }
         *self = ColdLimiter {
-            bears: self.bears,
-            earlier,
+            capacity: self.capacity,
+            prior,
             ..ColdLimiter::default()
         };
     }
 
-    /// Takes in the upstream's word, which it gave at `asked` or later, on how long it stays cold, in microseconds; 0
-    /// when it is warm.
-    pub fn reported(&mut self, asked: Moment, left_us: u64) {
+    /// Records the upstream's report on how long it stays cold, in microseconds; 0 when it is warm.
+    /// The report was made at `requested_at` or later.
+    pub fn reported(&mut self, requested_at: Moment, left_us: u64) {
         if left_us > 0 {
-            self.cold_until = Some(asked + left_us);
+            self.cold_until = Some(requested_at + left_us);
             return;
         }
         self.cold_until = None;
-        self.warm_at = Some(asked);
+        self.warm_at = Some(requested_at);
     }
 
-    /// Takes in a word that may have been on its way for long: it can't show that the upstream is warm now.
+    /// Records a report that may have been delayed: it can't show that the upstream is warm now.
     pub fn reported_late(&mut self, now: Moment, left_us: u64) {
         if left_us > 0 {
             self.cold_until = Some(now + left_us);
         }
     }
 
-    /// Takes in that this process stood still: what was started before may only arrive now.
+    /// Records that this process was paused: requests sent before may only arrive now.
     pub fn paused(&mut self, now: Moment) {
-        self.earlier = PriorStarts::Until(now);
+        self.prior = PriorStarts::Until(now);
     }
 
-    /// Takes in that an attempt has started.
+    /// Records the start of an attempt.
     pub fn started(&mut self, now: Moment) {
         while self.starts.front().is_some_and(|at| is_over(now, *at)) {
             self.starts.pop_front();
@@ -154,26 +157,26 @@
     /// Whether another attempt may start after `ahead` others.
     pub fn admission(&self, now: Moment, ahead: usize) -> ColdAdmission {
         let ColdCapacity::Limited {
-            starts_per_s: most,
+            starts_per_s: max_starts,
             cold_us,
-        } = self.bears
+        } = self.capacity
         else {
             return ColdAdmission::Free;
         };
         let counted: Vec<Moment> = self.counted(now).collect();
         let used = counted.len() + ahead;
-        let most = most as usize;
-        let earlier = self.earlier(now, cold_us);
-        if used < most && earlier.is_none() {
+        let max_starts = max_starts as usize;
+        let prior_until = self.prior_until(now, cold_us);
+        if used < max_starts && prior_until.is_none() {
             return ColdAdmission::Free;
         }
-        // As many of the counted ones have to lie a window back as are too many now.
-        let over = (used + 1).saturating_sub(most);
+        // The excess starts, oldest first, have to leave the window.
+        let over = (used + 1).saturating_sub(max_starts);
         let freed = match over.checked_sub(1) {
             None => now,
             Some(last) => *counted.get(last).unwrap_or(&now) + COLD_WINDOW_US,
         };
-        let freed = earlier.map_or(freed, |earlier| freed.max(earlier));
+        let freed = prior_until.map_or(freed, |until| freed.max(until));
         if self.is_cold(now) {
             ColdAdmission::Full(freed)
         } else {
@@ -189,26 +192,26 @@
         }
     }
 
-    /// Whether the upstream is cold by its last word.
+    /// Whether the upstream is cold according to its last report.
     pub fn is_cold(&self, now: Moment) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
 
-    /// How much longer it is cold by its last word, in microseconds.
+    /// How much longer the upstream is cold according to its last report, in microseconds.
     pub fn left_us(&self, now: Moment) -> u64 {
         self.cold_until.map_or(0, |until| until.since(now))
     }
 
-    /// Starts that a cold upstream would count, the oldest first.
+    /// Starts within the window since the upstream was last known to be warm, the oldest first.
     fn counted(&self, now: Moment) -> impl Iterator<Item = Moment> + '_ {
         let warm_at = self.warm_at.unwrap_or(Moment(0));
         let counts = move |at: &Moment| *at >= warm_at && !is_over(now, *at);
         self.starts.iter().copied().filter(counts)
     }
 
-    /// Until when nothing may start because an earlier run of this node may have used the window up.
-    fn earlier(&self, now: Moment, cold_us: u64) -> Option<Moment> {
-        let until = match self.earlier {
+    /// Until when nothing may start because an earlier run of this node may have used up the window.
+    fn prior_until(&self, now: Moment, cold_us: u64) -> Option<Moment> {
+        let until = match self.prior {
             PriorStarts::None | PriorStarts::SameIdentity => return None,
             PriorStarts::UnlessYoung {
                 left_us,
--- a/components/home/src/depth.rs
+++ b/components/home/src/depth.rs
@@ -1,17 +1,17 @@
-//! Slots kept for deeper calls.
+//! Reserves slots for deeper calls.
 //!
-//! A call holds its slot while the calls below it run. When outer calls take every slot, the calls
-//! below them find none, and all time out together. While deeper calls come, outer ones leave some
-//! slots to them.
+//! A call holds its slot while the calls below it run. If outer calls take every slot, the calls
+//! below them get none and all of them time out together. While deeper calls arrive, some slots are
+//! therefore reserved for them.
 
 use names::{Moment, SECOND};
 
-/// Deeper calls count for so long after the last one came, in microseconds.
-const REMEMBERED_US: u64 = 2 * SECOND;
-/// The part of the limit that may be kept for deeper calls: one in so many.
-const KEPT_PART: u32 = 3;
+/// How long the deepest level counts after it was last seen, in microseconds.
+const LEVEL_RETENTION_US: u64 = 2 * SECOND;
+/// At most one slot in this many is reserved for deeper calls.
+const RESERVED_DIVISOR: u32 = 3;
 
-/// The deepest level seen lately.
+/// Tracks the deepest level of recent calls.
 #[derive(Debug, Clone, Default)]
 pub struct DepthTracker {
     deepest: u32,
@@ -19,21 +19,21 @@
 }
 
 impl DepthTracker {
-    /// Takes in the level of an offer.
+    /// Records the level of an offer.
     pub fn observe(&mut self, now: Moment, level: u32) {
-        let old = now.since(self.seen) > REMEMBERED_US;
-        if level >= self.deepest || old {
+        let is_expired = now.since(self.seen) > LEVEL_RETENTION_US;
+        if level >= self.deepest || is_expired {
             self.deepest = level;
             self.seen = now;
         }
     }
 
-    /// The limit for a call of `level` under a limit for all of `limit`.
+    /// The concurrency limit for a call of `level`, given the overall `limit`.
     pub fn limit(&self, now: Moment, level: u32, limit: u32) -> u32 {
-        if now.since(self.seen) > REMEMBERED_US {
+        if now.since(self.seen) > LEVEL_RETENTION_US {
             return limit;
         }
         let deeper = self.deepest.saturating_sub(level);
-        limit - deeper.min(limit / KEPT_PART)
+        limit - deeper.min(limit / RESERVED_DIVISOR)
     }
 }
--- a/components/home/src/message.rs
+++ b/components/home/src/message.rs
@@ -4,18 +4,18 @@
 use notices::RequestRate;
 use serde::{Deserialize, Serialize};
 
-/// Asks a home duty to run one attempt. The request itself travels beside it.
+/// Asks a home duty to run one attempt. The request itself is sent with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// Identity of the attempt, never reused.
     pub id: AttemptId,
-    /// Service the request is for.
+    /// Service that the request is for.
     #[serde(rename = "s")]
     pub service: Name,
-    /// Time left until the caller's deadline, in microseconds, when the offer was sent.
+    /// Time left until the caller's deadline when the offer was sent, in microseconds.
     #[serde(rename = "t")]
     pub remaining_us: u64,
-    /// Time left within which an answer has its full worth, in microseconds; none: until the deadline.
+    /// Time left in which an answer has its full value, in microseconds; none: until the deadline.
     #[serde(rename = "w")]
     pub objective_us: Option<u64>,
     /// Priority from the policy; a higher number is served first.
@@ -30,24 +30,25 @@
     /// Whether the home duty may queue the attempt when no slot is free.
     #[serde(rename = "q")]
     pub may_queue: bool,
-    /// Whether an upstream has seen the request before, so that this attempt is a repeat; calls that
-    /// are made for a repeat are repeats too.
+    /// Whether an upstream received the request before, so that this attempt is a repeat; calls
+    /// made for a repeat are repeats too.
     #[serde(rename = "x")]
     pub repeat: bool,
-    /// Whether an upstream ended while it ran the request.
+    /// Whether an upstream terminated while it ran the request.
     #[serde(rename = "u", default, skip_serializing_if = "Suspicion::is_none")]
     pub suspicion: Suspicion,
-    /// Whether the caller was refused before, so that its objective runs from an earlier try.
+    /// Whether the caller was refused before, so that its objective counts from an earlier try.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub returned: bool,
-    /// Whether the entry duty wants to know when the run takes much longer than usual.
+    /// Whether the entry duty wants a report if the run takes much longer than typical.
     #[serde(rename = "k", default, skip_serializing_if = "is_false")]
     pub report_straggler: bool,
-    /// The requests a second that the upstream takes, as far as the entry duty knows: the home duty may have started anew
-    /// and not know it yet.
+    /// The request limit of the upstream as known to the entry duty, in requests a second: a home
+    /// duty that has just restarted may not know it yet.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub known_limit: Option<RequestRate>,
-    /// The client account among which slots are shared fairly; the home node reads it from the request beside the offer.
+    /// The client account for the fair sharing of slots; the home node reads it from the request
+    /// sent with the offer.
     #[serde(skip)]
     pub account: Option<Name>,
 }
@@ -56,26 +57,28 @@
     !value
 }
 
-/// Whether an upstream ended while it ran the offered request, and how it may run then.
+/// Whether an upstream terminated while it ran the offered request, and under which conditions the
+/// request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Suspicion {
-    /// No such end is known.
+    /// No such termination is known.
     #[default]
     None,
-    /// Only where no other such request is at work: if the upstream ends, it is known which one ended it.
+    /// Only where no other suspect request runs: if the upstream terminates, it is known which
+    /// request caused it.
     Alone,
-    /// Also beside others: every upstream that was asked had one.
+    /// Also concurrently with other suspect requests: every upstream that was asked ran one.
     Shared,
 }
 
 impl Suspicion {
-    /// Whether no such end is known.
+    /// Whether no such termination is known.
     pub fn is_none(&self) -> bool {
         *self == Suspicion::None
     }
 }
 
-/// What a home duty knows of its upstream; carried on every answer and refusal.
+/// State of an upstream as known to its home duty; sent with every answer and refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
     /// Attempts running.
@@ -93,23 +96,23 @@
     /// Share of recent answers that were errors, in thousandths.
     #[serde(rename = "e")]
     pub errors_permille: u32,
-    /// How long work takes at the upstream now, in hundredths of the usual, as it says itself; 0 when
-    /// it doesn't say.
+    /// The slowdown that the upstream reports, in hundredths of the typical run time; 0 when it
+    /// doesn't report any.
     #[serde(rename = "n")]
     pub slow_percent: u32,
     /// How long new work is expected to wait for the end of a slow phase, in microseconds.
     #[serde(rename = "h")]
     pub deferred_us: u64,
-    /// How long until the upstream, which is cold, bears another start, in microseconds.
+    /// How long until the upstream, which is cold, sustains another start, in microseconds.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
     pub cold_wait_us: u64,
-    /// Requests a second that the upstream takes from all nodes together, by its own word.
+    /// The request limit that the upstream advertises for all nodes together, in requests a second.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request_limit: Option<RequestRate>,
-    /// How long until the upstream takes another request within its limit, in microseconds.
+    /// How long until the upstream accepts another request within its limit, in microseconds.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub limit_wait_us: u64,
-    /// Whether the upstream or its node is leaving.
+    /// Whether the upstream or its node is draining.
     #[serde(rename = "g")]
     pub leaving: bool,
 }
@@ -121,17 +124,17 @@
 /// Why a request was refused. Part of the callers' interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reason {
-    /// No slot and no room in the queue.
+    /// No free slot and no space in the queue.
     Busy,
     /// The remaining time is shorter than the predicted wait, or has passed.
     Deadline,
-    /// The upstream or its node is leaving.
+    /// The upstream or its node is draining.
     Leaving,
     /// The upstream cannot be reached.
     Down,
-    /// The upstream said that it did not start the request.
+    /// The upstream reported that it did not start the request.
     Shed,
-    /// The attempt is older than the home duty's memory.
+    /// The attempt is older than the home duty's records.
     Stale,
     /// No upstream of the service is known.
     NoUpstream,
@@ -145,23 +148,23 @@
     Unreachable,
     /// The outcome of an earlier try cannot be known.
     Lost,
-    /// The same idempotency key was used before, or may have been, and there is no answer to give.
+    /// The same idempotency key was used before, or may have been, and no answer can be replayed.
     KeyUsed,
-    /// The node that was taken for the key's coordinator is not.
+    /// The node that was asked is not the key's coordinator.
     NotCoordinator,
-    /// The node beside the upstream does not know whether the key was used there.
+    /// The upstream's local node does not know whether the key was used there.
     Uncertain,
-    /// Upstreams ended while they ran the request: no further one sees it.
+    /// Upstreams terminated while they ran the request: it is sent to no further one.
     Quarantined,
-    /// It carries no key of a client account, or one that nobody holds.
+    /// The request carries no API key, or one that belongs to no client account.
     Key,
-    /// Its key may have been withdrawn without this node knowing.
+    /// The API key may have been revoked without this node knowing.
     StaleKeys,
-    /// Its client account has used up its limit.
+    /// The client account has used up its limit.
     OverLimit,
-    /// What is left of its account's limit cannot be known now.
+    /// The remaining limit of the client account is unknown.
     LimitUnknown,
-    /// The request itself is at fault: malformed, too large or too slow.
+    /// The request is invalid: malformed, too large or too slow.
     BadRequest,
 }
 
@@ -197,23 +200,23 @@
 /// A refusal: the attempt was not run and never will be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The cause.
     pub reason: Reason,
-    /// When a caller may come back, in milliseconds.
+    /// After how long a caller may retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// What a home duty answers when asked about an attempt.
+/// A home duty's reply to a query about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryReply<A> {
     /// Running; the answer will follow on this connection.
     Started,
-    /// Ran to its end; the whole answer again.
+    /// Completed; the complete answer again.
     Answered(A),
-    /// Ran, but there is no whole answer to give.
+    /// Ran, but no complete answer is available.
     Ran,
-    /// Not run, and never will be.
+    /// Not run, and it never will be.
     Revoked,
-    /// Older than the home duty's memory: nothing is known.
+    /// Older than the home duty's records: nothing is known.
     Forgotten,
 }
--- a/components/home/src/pace.rs
+++ b/components/home/src/pace.rs
@@ -1,201 +1,206 @@
-//! How long work takes at the upstream now, by its own word, and for how long that will last.
+//! Slowdown that the upstream reports, and how long it is expected to last.
 //!
-//! A request keeps the pace at which it began, and the pace changes several times a second. A home duty
-//! therefore wants a word that is a few milliseconds old before it starts anything, and lets work wait
-//! while a slow phase lasts that will soon pass. Phases that don't pass (a cold start, a neighbour that
-//! stays busy) become the usual pace.
+//! A request runs at the slowdown at which it began, and the slowdown changes several times a
+//! second. A home duty therefore needs a report that is a few milliseconds old before it starts
+//! anything, and defers work during a slow phase that is about to end. Slow phases that don't end
+//! (a cold start, a neighbour that stays busy) become the new baseline.
 
 use crate::limit::Class;
 use names::{Moment, MILLISECOND, SECOND};
 use std::collections::HashMap;
 
-/// The usual pace, in the unit of the upstream's word: hundredths.
-const USUAL_PERCENT: u32 = 100;
-/// A word counts for a start for so long, in microseconds. At the users' sites phases last 150 to 300 ms,
-/// and of two starts 10 ms apart four in five have the same pace, of two 50 ms apart three in five.
+/// The report of an upstream that is not slowed, in hundredths of the typical run time.
+const TYPICAL_PERCENT: u32 = 100;
+/// How long a report is fresh enough for a start, in microseconds. Phases last 150 to 300 ms; two
+/// starts 10 ms apart have the same slowdown in 80% of cases, two starts 50 ms apart in 60%.
 const FRESH_US: u64 = 20 * MILLISECOND;
-/// For how long a word counts when no fresh one can be had, in microseconds: measured on the users'
-/// sites, it still holds in 87 of 100 cases after 150 ms, in 76 after 300 ms.
-const KEPT_US: u64 = 200 * MILLISECOND;
-/// The upstream is in a slow phase when work takes this many times as long as usual; up to there most
-/// requests still meet their objective, and a cold start takes twice the time.
+/// How long a report counts when no fresh one is available, in microseconds. After 150 ms it still
+/// holds in 87% of cases, after 300 ms in 76%.
+const RETAINED_US: u64 = 200 * MILLISECOND;
+/// The upstream is in a slow phase when work takes at least this many times as long as at the
+/// baseline. Below it most requests still meet their objective; a cold start takes twice the time.
 const SLOW_FACTOR: f64 = 2.5;
-/// Pace assumed of slow phases before any was seen, in terms of the usual one, and the weight of a new
-/// word.
-const FIRST_SLOW_FACTOR: f64 = 4.0;
+/// Slowdown factor assumed for slow phases before the first one, relative to the baseline, and the
+/// weight of a new report.
+const INITIAL_SLOW_FACTOR: f64 = 4.0;
 const SLOW_WEIGHT: f64 = 0.1;
-/// Length assumed of a slow phase before any was seen, in microseconds, and the weight of the
+/// Length assumed for slow phases before the first one, in microseconds, and the weight of this
 /// assumption, in phases.
-const FIRST_PHASE_US: f64 = 200.0 * MILLISECOND as f64;
-const FIRST_PHASES: f64 = 4.0;
-/// Two words further apart than this say nothing of what was between them, in microseconds.
+const INITIAL_PHASE_US: f64 = 200.0 * MILLISECOND as f64;
+const INITIAL_PHASES: f64 = 4.0;
+/// Two reports further apart than this don't show what happened in between, in microseconds.
 const GAP_US: u64 = 60 * MILLISECOND;
-/// Slow phases that the learned length remembers.
-const REMEMBERED_PHASES: f64 = 64.0;
-/// A slow phase that lasts this many times the learned length is the usual pace from then on. Measured
-/// against 3, after which work began in phases that were only long: 0.006 of worth on quiet days.
-const LASTING: f64 = 5.0;
-/// Part of the learned length that a phase is expected to go on for, however long it has lasted.
-const LEAST_LEFT: f64 = 0.5;
-/// After a look that brought no word none is made for so long, in microseconds; twice as long after each
-/// further one, up to the second figure.
-const BLIND_US: (u64, u64) = (SECOND / 4, 4 * SECOND);
-/// Weight of a new run in the usual service time of its class.
+/// Number of slow phases over which the learned length is averaged.
+const AVERAGED_PHASES: f64 = 64.0;
+/// A slow phase that lasts this many times the learned length becomes the baseline. With a factor
+/// of 3, work starts in phases that are merely long, which costs 0.006 of the value of requests
+/// under low load.
+const LASTING_FACTOR: f64 = 5.0;
+/// Share of the learned length for which a phase is expected to continue at least, however long it
+/// has lasted.
+const MIN_LEFT_SHARE: f64 = 0.5;
+/// Backoff after a probe that returned no report, in microseconds: the initial value, which doubles
+/// with each further one, and the maximum.
+const PROBE_BACKOFF_US: (u64, u64) = (SECOND / 4, 4 * SECOND);
+/// Weight of a new run in the typical service time of its class.
 const SERVICE_WEIGHT: f64 = 0.1;
-/// A run counts in the usual service time of its class with this many times that time at most. Where 3% of the runs take
-/// seven times as long, each of them would otherwise raise the usual time by more than half, and requests that can be
-/// answered in time would be refused as hopeless.
-const MOST_RUN_FACTOR: f64 = 2.0;
+/// A run counts in the typical service time of its class with at most this many times that time.
+/// Where 3% of the runs take seven times as long, each of them would otherwise raise the typical
+/// time by more than half, and requests that can be answered in time would be refused as hopeless.
+const MAX_RUN_FACTOR: f64 = 2.0;
 /// Cost of a start before any run has ended, in microseconds.
 const DEFAULT_COST_US: f64 = 5.0 * MILLISECOND as f64;
-/// Classes whose service times are told apart at most.
-const MOST_CLASSES: usize = 64;
+/// Maximum number of classes with separate service times.
+const MAX_CLASSES: usize = 64;
 
 /// A slow phase that has not ended.
 #[derive(Debug, Clone, Copy)]
 struct Phase {
     since: Moment,
-    /// Whether every word since came soon enough after the one before to tell the phase's length.
-    is_watched: bool,
-    /// The least word since, in hundredths.
-    least: u32,
+    /// Whether reports have been frequent enough to measure the length of the phase.
+    is_measured: bool,
+    /// The smallest slowdown reported in the phase, in hundredths.
+    smallest: u32,
 }
 
-/// What is known of the pace of one upstream.
+/// The reported slowdown of one upstream, and what is learned from it.
 #[derive(Debug, Clone, Default)]
 pub struct Slowdown {
     percent: u32,
-    told: Option<Moment>,
-    /// The pace that has lasted, in hundredths; at least [`USUAL_PERCENT`].
-    usual: u32,
+    reported_at: Option<Moment>,
+    /// The lasting slowdown, in hundredths; at least [`TYPICAL_PERCENT`].
+    baseline: u32,
     phase: Option<Phase>,
-    /// The pace in slow phases, in terms of the usual one; none before there was a phase.
+    /// The slowdown in slow phases relative to the baseline; none before the first phase.
     slow_factor: Option<f64>,
-    /// Length of the phases that were watched to their end, in microseconds, and their number.
+    /// Total length of the phases that were measured to their end, in microseconds, and their number.
     ended_us: f64,
     ended: f64,
-    /// Until when the last word is taken for a fresh one, because no look was allowed.
+    /// Until when the last report counts as fresh because a probe was denied.
     trusted_until: Moment,
-    blind_until: Moment,
-    blind_us: u64,
-    /// Time that a run of each class takes at the usual pace, in microseconds.
+    probing_suspended_until: Moment,
+    probe_backoff_us: u64,
+    /// Typical run time of each class without slowdown, in microseconds.
     services_us: HashMap<Class, f64>,
 }
 
 impl Slowdown {
-    /// Takes in the upstream's word, in hundredths of the usual time. Returns whether it changed.
+    /// Records the upstream's report, in hundredths of the typical run time. Returns whether it
+    /// changed.
     pub fn reported(&mut self, now: Moment, percent: u32) -> bool {
         let changed = self.percent != percent;
-        self.usual = self.usual.min(percent).max(USUAL_PERCENT);
+        self.baseline = self.baseline.min(percent).max(TYPICAL_PERCENT);
         if self.is_slow_report(percent) {
             self.slow_report(now, percent);
         } else if let Some(phase) = self.phase.take() {
             self.phase_ended(now, phase);
         }
         self.percent = percent;
-        self.told = Some(now);
-        self.blind_us = 0;
+        self.reported_at = Some(now);
+        self.probe_backoff_us = 0;
         changed
     }
 
-    /// Begins a slow phase or goes on with it; one that lasts becomes the usual pace.
+    /// Begins or continues a slow phase; a lasting one becomes the baseline.
     fn slow_report(&mut self, now: Moment, percent: u32) {
-        let is_near = self.is_near(now);
-        let factor = f64::from(percent) / f64::from(self.usual());
-        let slow = self.slow_factor.get_or_insert(FIRST_SLOW_FACTOR);
+        let is_continuous = self.is_continuous(now);
+        let factor = f64::from(percent) / f64::from(self.baseline());
+        let slow = self.slow_factor.get_or_insert(INITIAL_SLOW_FACTOR);
         *slow += (factor - *slow) * SLOW_WEIGHT;
         let phase = self.phase.get_or_insert(Phase {
             since: now,
-            is_watched: true,
-            least: percent,
+            is_measured: true,
+            smallest: percent,
         });
-        phase.is_watched &= is_near || phase.since == now;
-        phase.least = phase.least.min(percent);
+        phase.is_measured &= is_continuous || phase.since == now;
+        phase.smallest = phase.smallest.min(percent);
         let phase = *phase;
-        if now.since(phase.since) as f64 > self.phase_us() * LASTING {
-            self.usual = phase.least;
+        if now.since(phase.since) as f64 > self.phase_us() * LASTING_FACTOR {
+            self.baseline = phase.smallest;
             self.phase = None;
         }
     }
 
     fn phase_ended(&mut self, now: Moment, phase: Phase) {
-        if !phase.is_watched || !self.is_near(now) {
+        if !phase.is_measured || !self.is_continuous(now) {
             return;
         }
         self.ended_us += now.since(phase.since) as f64;
         self.ended += 1.0;
-        if self.ended > REMEMBERED_PHASES {
+        if self.ended > AVERAGED_PHASES {
             self.ended_us /= 2.0;
             self.ended /= 2.0;
         }
     }
 
-    /// Whether the last word came so lately that nothing was between.
-    fn is_near(&self, now: Moment) -> bool {
+    /// Whether the last report is recent enough to exclude a change since.
+    fn is_continuous(&self, now: Moment) -> bool {
         self.age_us(now).is_some_and(|age| age <= GAP_US)
     }
 
-    /// Takes in that a look brought no word.
+    /// Records that a probe returned no report.
     pub fn probe_failed(&mut self, now: Moment) {
-        let (least, most) = BLIND_US;
-        self.blind_us = (self.blind_us * 2).clamp(least, most);
-        self.blind_until = now + self.blind_us;
+        let (shortest, longest) = PROBE_BACKOFF_US;
+        self.probe_backoff_us = (self.probe_backoff_us * 2).clamp(shortest, longest);
+        self.probing_suspended_until = now + self.probe_backoff_us;
     }
 
-    /// Takes in that no look was allowed: the last word has to do for a moment, as long as it counts at all.
+    /// Records that a probe was denied by the budget: the last report counts as fresh for a short
+    /// time, if it still counts at all.
     pub fn probe_denied(&mut self, now: Moment) {
         self.trusted_until = now + FRESH_US;
     }
 
-    /// Whether a look was refused a moment ago.
+    /// Whether a probe was denied recently.
     pub fn is_probe_denied(&self, now: Moment) -> bool {
         now < self.trusted_until
     }
 
-    /// Takes in how long a whole run took that began on the word `percent`.
+    /// Records the duration of a complete run that began while the upstream reported `percent`.
     pub fn record_run(&mut self, class: Class, service_us: u64, percent: u32) {
-        let pace = f64::from(percent.max(USUAL_PERCENT)) / f64::from(USUAL_PERCENT);
-        let at_usual = service_us as f64 / pace;
+        let slowdown = f64::from(percent.max(TYPICAL_PERCENT)) / f64::from(TYPICAL_PERCENT);
+        let unslowed_us = service_us as f64 / slowdown;
         let known = self.services_us.len();
-        if known >= MOST_CLASSES && !self.services_us.contains_key(&class) {
+        if known >= MAX_CLASSES && !self.services_us.contains_key(&class) {
             return;
         }
-        let service = self.services_us.entry(class).or_insert(at_usual);
-        let at_usual = at_usual.min(*service * MOST_RUN_FACTOR);
-        *service += (at_usual - *service) * SERVICE_WEIGHT;
+        let service = self.services_us.entry(class).or_insert(unslowed_us);
+        let unslowed_us = unslowed_us.min(*service * MAX_RUN_FACTOR);
+        *service += (unslowed_us - *service) * SERVICE_WEIGHT;
     }
 
-    /// How long a run of this class takes at the usual pace, in microseconds; none before one has ended.
+    /// Typical run time of this class without slowdown, in microseconds; none before a run has ended.
     pub fn service_us(&self, class: Class) -> Option<f64> {
         self.services_us.get(&class).copied()
     }
 
-    /// What a start of this class costs its account, in microseconds. A class of which no run has ended costs as much as
-    /// the longest that is known: its runs may be too long ever to end well.
+    /// The cost of a start of this class to its account, in microseconds. A class of which no run
+    /// has ended costs as much as the longest known one: its runs may be too long ever to succeed.
     pub(crate) fn cost_us(&self, class: Class) -> u64 {
         let longest_us = || self.services_us.values().copied().reduce(f64::max);
-        let usual_us = self.service_us(class).or_else(longest_us);
-        (usual_us.unwrap_or(DEFAULT_COST_US) as u64).max(1)
+        let typical_us = self.service_us(class).or_else(longest_us);
+        (typical_us.unwrap_or(DEFAULT_COST_US) as u64).max(1)
     }
 
-    /// How long work takes that begins now and takes `usual_us` at the usual pace, in microseconds.
-    pub fn scaled_us(&self, now: Moment, usual_us: f64) -> f64 {
+    /// Expected run time of work that begins now and takes `typical_us` without slowdown, in
+    /// microseconds.
+    pub fn scaled_us(&self, now: Moment, typical_us: f64) -> f64 {
         let percent = match self.reported_percent(now) {
-            0 => self.usual(),
-            word => word,
+            0 => self.baseline(),
+            reported => reported,
         };
-        usual_us * f64::from(percent) / f64::from(USUAL_PERCENT)
+        typical_us * f64::from(percent) / f64::from(TYPICAL_PERCENT)
     }
 
-    /// Whether a start has to wait for a new word.
+    /// Whether a start has to wait for a new report.
     pub fn needs_probe(&self, now: Moment) -> bool {
-        let is_fresh = self.told.is_some_and(|told| now.since(told) <= FRESH_US);
+        let is_fresh = self.reported_at.is_some_and(|at| now.since(at) <= FRESH_US);
         !is_fresh && now >= self.trusted_until && !self.is_probing_suspended(now)
     }
 
-    /// Whether the last looks brought nothing, so that starts don't wait for one.
+    /// Whether the last probes failed, so that starts don't wait for one.
     pub fn is_probing_suspended(&self, now: Moment) -> bool {
-        now < self.blind_until
+        now < self.probing_suspended_until
     }
 
     /// Whether work of this class ends sooner if it begins after the slow phase.
@@ -206,23 +211,23 @@
         let Some(service_us) = self.services_us.get(&class) else {
             return true;
         };
-        let extra = f64::from(self.percent - self.usual()) / f64::from(USUAL_PERCENT);
+        let extra = f64::from(self.percent - self.baseline()) / f64::from(TYPICAL_PERCENT);
         extra * service_us > self.phase_left_us(now) as f64
     }
 
-    /// Whether work of this class would wait for the end of a slow phase, so that a word is of use before
-    /// it starts. Saves 23 of 100 looks at a site with slow phases of 300 ms and calls of 15 ms (quiet day, mean
-    /// of three).
+    /// Whether work of this class would wait for the end of a slow phase, so that a report is
+    /// useful before it starts. Saves 23% of the probes where slow phases last 300 ms, calls take
+    /// 15 ms and the load is low.
     pub fn may_defer(&self, class: Class) -> bool {
         let Some(service_us) = self.services_us.get(&class) else {
             return true;
         };
-        let slow = self.slow_factor.unwrap_or(FIRST_SLOW_FACTOR);
-        let extra = (slow - 1.0) * f64::from(self.usual()) / f64::from(USUAL_PERCENT);
-        extra * service_us > self.phase_us() * LEAST_LEFT
+        let slow = self.slow_factor.unwrap_or(INITIAL_SLOW_FACTOR);
+        let extra = (slow - 1.0) * f64::from(self.baseline()) / f64::from(TYPICAL_PERCENT);
+        extra * service_us > self.phase_us() * MIN_LEFT_SHARE
     }
 
-    /// Whether the upstream is in a slow phase by a word that still counts.
+    /// Whether the upstream is in a slow phase according to a report that still counts.
     pub fn is_slow(&self, now: Moment) -> bool {
         self.reported_percent(now) > 0 && self.is_slow_report(self.percent)
     }
@@ -233,12 +238,14 @@
             return 0;
         };
         let length = self.phase_us();
-        (length - now.since(phase.since) as f64).max(length * LEAST_LEFT) as u64
+        (length - now.since(phase.since) as f64).max(length * MIN_LEFT_SHARE) as u64
     }
 
-    /// The word while it counts, in hundredths of the usual; 0 when there is none.
+    /// The last report while it counts, in hundredths of the typical run time; 0 when there is none.
     pub fn reported_percent(&self, now: Moment) -> u32 {
-        let counts = self.told.is_some_and(|told| now.since(told) < KEPT_US);
+        let counts = self
+            .reported_at
+            .is_some_and(|at| now.since(at) < RETAINED_US);
         if counts {
             self.percent
         } else {
@@ -246,22 +253,22 @@
         }
     }
 
-    /// Age of the last word, in microseconds; none when there never was one.
+    /// Age of the last report, in microseconds; none before the first.
     pub fn age_us(&self, now: Moment) -> Option<u64> {
-        self.told.map(|told| now.since(told))
+        self.reported_at.map(|at| now.since(at))
     }
 
     /// The learned length of slow phases, in microseconds.
     pub fn phase_us(&self) -> f64 {
-        (self.ended_us + FIRST_PHASE_US * FIRST_PHASES) / (self.ended + FIRST_PHASES)
+        (self.ended_us + INITIAL_PHASE_US * INITIAL_PHASES) / (self.ended + INITIAL_PHASES)
     }
 
-    fn usual(&self) -> u32 {
-        self.usual.max(USUAL_PERCENT)
+    fn baseline(&self) -> u32 {
+        self.baseline.max(TYPICAL_PERCENT)
     }
 
-    /// Whether a word of the upstream means that it is in a slow phase.
+    /// Whether a report means that the upstream is in a slow phase.
     pub(crate) fn is_slow_report(&self, percent: u32) -> bool {
-        f64::from(percent) >= SLOW_FACTOR * f64::from(self.usual())
+        f64::from(percent) >= SLOW_FACTOR * f64::from(self.baseline())
     }
 }
--- a/components/home/src/request_limit.rs
+++ b/components/home/src/request_limit.rs
@@ -1,68 +1,74 @@
-//! How many requests a second the upstream takes, by its own word, and how many were started.
+//! Request limit that the upstream advertises, and how it delays starts.
 //!
-//! The load that this answers: an overloaded upstream asks for far less than its slots would start, while its service has
-//! as many callers as before. What comes beyond its limit goes to other upstreams, waits for its turn where it can be in
-//! time, or is refused at once.
+//! An overloaded upstream advertises a limit far below what its slots would start, while its
+//! service has as many callers as before. Requests beyond the limit go to other upstreams, wait for
+//! their turn if they can still be answered in time, or are refused immediately.
 //!
-//! An upstream names a limit in each answer for as long as it holds. Answers overtake one another on their connections, so
-//! the end of a limit, or a higher one, is believed only some time after the last answer that named a lower one.
+//! An upstream advertises a limit in each answer for as long as it applies. Answers on different
+//! connections may be reordered, so the end of a limit, or a higher one, is accepted only some time
+//! after the last answer with a lower one.
 
 use names::{Moment, MILLISECOND, SECOND};
 use notices::{RateNotice, RequestRate};
 use std::collections::VecDeque;
 
-/// For so long after an answer that named a limit, an answer that names none or a higher one may be the older of the two,
-/// in microseconds.
-const OVERTAKING_US: u64 = 100 * MILLISECOND;
-/// As many requests as the limit makes in this time may start at once, and one in any case, in microseconds.
+/// Within this time after an answer that advertised a limit, an answer with a higher one or none
+/// may be the older of the two, in microseconds.
+const REORDER_WINDOW_US: u64 = 100 * MILLISECOND;
+/// As many requests as the limit allows in this time may start at once, and at least one, in
+/// microseconds.
 const BURST_US: u64 = SECOND / 2;
-/// One request may start after this time whatever the limit is, in microseconds: only an answer tells that it has ended.
-const LONGEST_PAUSE_US: u64 = 10 * SECOND;
+/// One request may start after this time whatever the limit is, in microseconds: only an answer
+/// shows that the limit has ended.
+const MAX_PERIOD_US: u64 = 10 * SECOND;
 
-/// What the upstream takes, and what was started there.
+/// Applies the request limit of one upstream to the starts there.
 #[derive(Debug, Clone, Default)]
 pub struct RequestLimit {
-    /// The limit in force, and when it was last named.
-    named: Option<(RequestRate, Moment)>,
-    /// Whether an answer of this upstream was read. Until then another node may know better.
+    /// The limit in force, and when it was last advertised.
+    current: Option<(RequestRate, Moment)>,
+    /// Whether an answer of this upstream was received. Until then another node may know the limit
+    /// better.
     has_answer: bool,
     /// Starts within [`BURST_US`], and the last one, the oldest first.
     starts: VecDeque<Moment>,
 }
 
 impl RequestLimit {
-    /// Takes in what an answer says. Returns whether another limit, or none, is in force now.
+    /// Applies the limit that an answer advertises. Returns whether the limit in force changed.
     pub fn advertised(&mut self, now: Moment, notice: RateNotice) -> bool {
         self.has_answer = true;
-        let told = match notice {
+        let advertised = match notice {
             RateNotice::Unreadable => return false,
             RateNotice::None => None,
             RateNotice::Limit(rate) => Some(rate),
         };
         let before = self.in_force();
-        let is_lower = |(known, _): (RequestRate, Moment)| told.is_some_and(|rate| rate <= known);
-        let is_settled = |(_, at): (RequestRate, Moment)| now.since(at) >= OVERTAKING_US;
+        let is_lower =
+            |(known, _): (RequestRate, Moment)| advertised.is_some_and(|rate| rate <= known);
+        let is_settled = |(_, at): (RequestRate, Moment)| now.since(at) >= REORDER_WINDOW_US;
         if self
-            .named
-            .is_none_or(|named| is_lower(named) || is_settled(named))
+            .current
+            .is_none_or(|current| is_lower(current) || is_settled(current))
         {
-            self.named = told.map(|rate| (rate, now));
+            self.current = advertised.map(|rate| (rate, now));
         }
         self.in_force() != before
     }
 
-    /// Takes in a limit that another node has learned from an earlier run of this one. Returns whether it is in force now
-    /// and was not before.
+    /// Restores a limit that another node knows from an earlier run of this one. Returns whether it
+    /// took effect.
     pub fn restored(&mut self, now: Moment, limit: RequestRate) -> bool {
-        let is_news = !self.has_answer && self.named.is_none();
-        if is_news {
-            self.named = Some((limit, now));
+        let is_unknown = !self.has_answer && self.current.is_none();
+        if is_unknown {
+            self.current = Some((limit, now));
         }
-        is_news
+        is_unknown
     }
 
-    /// Takes in that another run of the upstream stands here. One of the same identity may get what was meant for the run
-    /// before it, whose limit holds until an answer says otherwise.
+    /// Records that another incarnation of the upstream has taken the place of the last one. One
+    /// with the same identity may receive requests meant for the last one, whose limit applies
+    /// until an answer changes it.
     pub fn replaced(&mut self, is_same_identity: bool) {
         if is_same_identity {
             self.has_answer = false;
@@ -71,7 +77,7 @@
         }
     }
 
-    /// Takes in that an attempt has started.
+    /// Records the start of an attempt.
     pub fn started(&mut self, now: Moment) {
         let is_old = |at: &Moment| now.since(*at) > BURST_US;
         while self.starts.front().is_some_and(is_old) {
@@ -86,9 +92,9 @@
             return 0;
         };
         let burst = limit.in_us(BURST_US).max(1);
-        let period_us = limit.time_of_us(burst).min(LONGEST_PAUSE_US);
+        let period_us = limit.time_of_us(burst).min(MAX_PERIOD_US);
         let ahead = ahead as u64;
-        // An attempt starts a period after the one that is a burst before it.
+        // An attempt starts one period after the attempt that is one burst before it.
         let before = usize::try_from(burst - ahead % burst).unwrap_or(usize::MAX);
         let first_us = match self.starts.len().checked_sub(before) {
             Some(index) => (self.starts[index] + period_us).since(now),
@@ -99,6 +105,6 @@
 
     /// The limit in force.
     pub fn in_force(&self) -> Option<RequestRate> {
-        self.named.map(|(rate, _)| rate)
+        self.current.map(|(rate, _)| rate)
     }
 }
--- a/components/home/src/run_times.rs
+++ b/components/home/src/run_times.rs
@@ -1,38 +1,39 @@
 //! The 90th percentile of the run times of one class, as a streaming estimate with bounded state.
 //!
-//! Runs are taken in blocks. Each block gives its own percentile, and the estimate is the median over the last blocks. A
-//! run that takes seven times as long as usual therefore counts as one long run, whatever its length, and a burst of
-//! slow answers as long as a block leaves the estimate among the usual blocks. A change that lasts is the new estimate
-//! after three blocks.
+//! Runs are grouped into blocks. Each block has its own percentile, and the estimate is the median
+//! over the last blocks. A run that takes seven times the typical time therefore counts as one long
+//! run, whatever its length, and a burst of slow answers as long as one block doesn't move the
+//! estimate out of the range of the other blocks. A lasting change becomes the new estimate after
+//! three blocks.
 
-/// Runs of a block: the least number whose 90th percentile (the 18th of 20) isn't its longest run. Of 20 runs, 3% of
-/// which are stragglers, three or more are stragglers in 2 of 100 blocks.
+/// Runs in a block: with 20, the 90th percentile (the 18th) is not the longest run. If 3% of runs
+/// are stragglers, 2% of the blocks have three or more of them.
 const BLOCK_RUNS: usize = 20;
-/// Blocks whose median is the estimate.
+/// Number of blocks whose median is the estimate.
 const BLOCKS: usize = 5;
-/// Place of the 90th percentile in a sorted block.
-const P90_PLACE: usize = BLOCK_RUNS * 9 / 10 - 1;
+/// Index of the 90th percentile in a sorted block.
+const P90_INDEX: usize = BLOCK_RUNS * 9 / 10 - 1;
 
 /// Run times of one class.
 #[derive(Debug, Clone, Default)]
 pub struct RunTimes {
-    /// Runs of the block that is not full, in microseconds.
+    /// Runs of the incomplete block, in microseconds.
     open: Vec<u64>,
-    /// Percentiles of the last blocks, in microseconds.
+    /// 90th percentiles of the last blocks, in microseconds.
     blocks: Vec<u64>,
-    /// The block that is replaced next.
+    /// Index of the block that is replaced next.
     oldest: usize,
 }
 
 impl RunTimes {
-    /// Takes in a run.
+    /// Records the duration of a run, in microseconds.
     pub fn record(&mut self, us: u64) {
         self.open.push(us);
         if self.open.len() < BLOCK_RUNS {
             return;
         }
         self.open.sort_unstable();
-        let p90_us = self.open[P90_PLACE];
+        let p90_us = self.open[P90_INDEX];
         self.open.clear();
         if self.blocks.len() < BLOCKS {
             self.blocks.push(p90_us);
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The 90th percentile, in microseconds; none before the first block is full.
+    /// The estimated 90th percentile, in microseconds; none before the first block is full.
     pub fn p90_us(&self) -> Option<u64> {
         let mut blocks = self.blocks.clone();
         blocks.sort_unstable();
