--- a/components/home/tests/cold.rs
+++ b/components/home/tests/cold.rs
@@ -1,6 +1,7 @@
-//! A service whose upstreams had all come back cold stayed down for the rest of the day: each upstream was sent what
-//! its slots held, 39 requests in one second where it bore 32, fell over, came back cold, and its load brought the
-//! next one down. These tests replay that load on one home duty, and then draw upstreams that turn cold at any moment.
+//! Guards against a cascade of overload crashes at cold upstreams: one that was sent as many
+//! requests as its slots hold, 39 in one second where it sustained 32, crashed and came back cold,
+//! and its load crashed the next one, so that the service stayed down. The tests replay that load
+//! on one home duty, then generate upstreams that turn cold at any time.
 
 use home::{
     Action, ColdAdmission, ColdCapacity, Config, Home, Offer, PriorStarts, ProbeResult, Suspicion,
@@ -11,11 +12,11 @@
 use std::collections::VecDeque;
 
 const START: Moment = Moment(100 * SECOND);
-/// Starts that the upstream bears in a second while it is cold.
-const MOST: u32 = 30;
+/// Starts per second that the upstream sustains while it is cold.
+const MAX_STARTS: u32 = 30;
 const COLD_US: u64 = 3 * SECOND;
-const USUAL: u32 = 100;
-/// Time that a run takes while the upstream is cold.
+const TYPICAL_PERCENT: u32 = 100;
+/// Duration of a run while the upstream is cold.
 const RUN_US: u64 = 80 * MILLISECOND;
 
 fn id(seq: u64) -> AttemptId {
@@ -44,53 +45,53 @@
     }
 }
 
-/// A duty of an upstream with eleven slots that has just started.
-fn duty(looks: bool, earlier: PriorStarts) -> Home<u64> {
+/// The home duty of an upstream with eleven slots that has just started.
+fn home_duty(can_probe: bool, prior: PriorStarts) -> Home<u64> {
     let cfg = Config {
         slots: 11,
         adaptive: false,
-        can_probe: looks,
+        can_probe,
         ..Config::default()
     };
     let mut home = Home::new(BootId(1), cfg);
     home.set_cold_capacity(ColdCapacity::Limited {
-        starts_per_s: MOST,
+        starts_per_s: MAX_STARTS,
         cold_us: COLD_US,
     });
-    home.upstream_replaced(START, 11, earlier);
+    home.upstream_replaced(START, 11, prior);
     home
 }
 
-fn told(cold_us: u64) -> ProbeResult {
+fn report(cold_us: u64) -> ProbeResult {
     ProbeResult::Reported {
-        percent: Some(USUAL),
+        percent: Some(TYPICAL_PERCENT),
         cold_us: Some(cold_us),
     }
 }
 
-/// Drives one duty, and notes when attempts start.
-struct Drive {
+/// Drives one home duty and records when attempts start.
+struct Driver {
     home: Home<u64>,
     now: Moment,
     cold_until: Moment,
     running: VecDeque<(Moment, AttemptId)>,
     starts: Vec<Moment>,
-    looks: u64,
-    /// When a look was asked for that has not been answered.
-    asked: bool,
+    probes: u64,
+    /// Whether a requested probe has not been answered.
+    probe_pending: bool,
     next: u64,
 }
 
-impl Drive {
-    fn new(home: Home<u64>, cold_until: Moment) -> Drive {
-        Drive {
+impl Driver {
+    fn new(home: Home<u64>, cold_until: Moment) -> Driver {
+        Driver {
             home,
             now: START,
             cold_until,
             running: VecDeque::new(),
             starts: Vec::new(),
-            looks: 0,
-            asked: false,
+            probes: 0,
+            probe_pending: false,
             next: 0,
         }
     }
@@ -103,8 +104,8 @@
                     self.running.push_back((self.now + RUN_US, id));
                 }
                 Action::Probe => {
-                    self.looks += 1;
-                    self.asked = true;
+                    self.probes += 1;
+                    self.probe_pending = true;
                 }
                 Action::Refuse(..) | Action::Revoke(_) | Action::Straggles(_) => {}
             }
@@ -118,16 +119,16 @@
         self.perform(actions);
     }
 
-    /// The upstream answers the look that is under way.
-    fn answer_look(&mut self) {
-        if std::mem::take(&mut self.asked) {
+    /// The upstream answers the pending probe.
+    fn answer_probe(&mut self) {
+        if std::mem::take(&mut self.probe_pending) {
             let left_us = self.cold_until.since(self.now);
-            let actions = self.home.probe_finished(self.now, told(left_us));
+            let actions = self.home.probe_finished(self.now, report(left_us));
             self.perform(actions);
         }
     }
 
-    fn pass(&mut self, us: u64) {
+    fn advance(&mut self, us: u64) {
         self.now = self.now + us;
         while self
             .running
@@ -143,8 +144,8 @@
         self.perform(actions);
     }
 
-    /// Most starts in one second that began at `since` or later.
-    fn most_in_a_second(&self, since: Moment) -> usize {
+    /// Maximum number of starts in one second, counted from `since`.
+    fn max_starts_per_second(&self, since: Moment) -> usize {
         let counted: Vec<Moment> = self
             .starts
             .iter()
@@ -159,176 +160,186 @@
     }
 }
 
-/// Offers two and a half times what the cold upstream bears, until it has been warm for a second.
-fn replay(mut drive: Drive) -> Drive {
+/// Offers two and a half times what the cold upstream sustains, until it has been warm for a second.
+fn replay(mut driver: Driver) -> Driver {
     let end = START + COLD_US + SECOND;
-    while drive.now < end {
-        drive.offer(true);
-        drive.pass(6 * MILLISECOND);
-        drive.answer_look();
-        drive.pass(7 * MILLISECOND);
+    while driver.now < end {
+        driver.offer(true);
+        driver.advance(6 * MILLISECOND);
+        driver.answer_probe();
+        driver.advance(7 * MILLISECOND);
     }
-    drive
+    driver
 }
 
 #[test]
-fn an_upstream_that_is_cold_gets_no_more_in_any_second_than_it_bears_and_is_open_once_it_is_warm() {
-    let drive = replay(Drive::new(duty(true, PriorStarts::None), START + COLD_US));
-    let cold: Vec<&Moment> = drive
+fn cold_upstream_gets_its_declared_starts_per_second_and_a_warm_one_gets_more() {
+    let driver = replay(Driver::new(
+        home_duty(true, PriorStarts::None),
+        START + COLD_US,
+    ));
+    let cold: Vec<&Moment> = driver
         .starts
         .iter()
         .filter(|at| **at < START + COLD_US)
         .collect();
     assert!(
-        drive.most_in_a_second(START) > MOST as usize,
-        "it stays bounded when it is warm"
+        driver.max_starts_per_second(START) > MAX_STARTS as usize,
+        "the cold limit still applies to the warm upstream"
     );
-    let while_cold = Drive {
+    let while_cold = Driver {
         starts: cold.into_iter().copied().collect(),
-        ..drive
+        ..driver
     };
-    assert_eq!(while_cold.most_in_a_second(START), MOST as usize);
-    // Every start that it bears is used: three windows of the cold time and a part of the fourth.
+    assert_eq!(while_cold.max_starts_per_second(START), MAX_STARTS as usize);
+    // All starts that it sustains are used: the cold time has two full windows and a part of the
+    // third.
     let windows = COLD_US / COLD_WINDOW_US;
-    assert!(while_cold.starts.len() as u64 >= windows * u64::from(MOST));
+    assert!(while_cold.starts.len() as u64 >= windows * u64::from(MAX_STARTS));
 }
 
 #[test]
-fn a_warm_upstream_is_asked_before_more_are_started_than_a_cold_one_bears() {
-    let mut drive = replay(Drive::new(duty(true, PriorStarts::None), START));
-    let began = drive.starts.len();
-    assert!(began > 250, "a warm upstream is not held back: {began}");
-    // It turns cold without a word just after the last look.
-    drive.answer_look();
-    let turned = drive.now;
-    drive.cold_until = turned + COLD_US;
+fn warm_upstream_is_probed_before_starts_exceed_the_cold_capacity() {
+    let mut driver = replay(Driver::new(home_duty(true, PriorStarts::None), START));
+    let began = driver.starts.len();
+    assert!(began > 250, "a warm upstream is limited to {began} starts");
+    // It turns cold just after the last probe and doesn't report it.
+    driver.answer_probe();
+    let turned = driver.now;
+    driver.cold_until = turned + COLD_US;
     for _ in 0..200 {
-        drive.offer(true);
-        drive.pass(10 * MILLISECOND);
-        drive.answer_look();
+        driver.offer(true);
+        driver.advance(10 * MILLISECOND);
+        driver.answer_probe();
     }
-    assert!(drive.most_in_a_second(turned) <= MOST as usize);
+    assert!(driver.max_starts_per_second(turned) <= MAX_STARTS as usize);
 }
 
 #[test]
-fn without_looks_a_registration_tells_when_it_is_warm() {
-    let mut home = duty(false, PriorStarts::None);
+fn without_probes_a_registration_reports_a_warm_upstream() {
+    let mut home = home_duty(false, PriorStarts::None);
     home.cold_reported(START, COLD_US);
-    let mut drive = replay(Drive::new(home, START + COLD_US));
-    assert_eq!(drive.most_in_a_second(START), MOST as usize);
-    drive.home.cold_reported(drive.now, 0);
-    let warm = drive.now;
+    let mut driver = replay(Driver::new(home, START + COLD_US));
+    assert_eq!(driver.max_starts_per_second(START), MAX_STARTS as usize);
+    driver.home.cold_reported(driver.now, 0);
+    let warm = driver.now;
     for _ in 0..100 {
-        drive.offer(true);
-        drive.pass(10 * MILLISECOND);
-        drive.home.cold_reported(drive.now, 0);
+        driver.offer(true);
+        driver.advance(10 * MILLISECOND);
+        driver.home.cold_reported(driver.now, 0);
     }
-    assert!(drive.most_in_a_second(warm) > MOST as usize);
+    assert!(driver.max_starts_per_second(warm) > MAX_STARTS as usize);
 }
 
 #[test]
-fn a_node_that_starts_beside_a_cold_upstream_counts_what_the_run_before_it_may_have_started() {
+fn restarted_node_counts_the_starts_of_its_previous_run_at_a_cold_upstream() {
     let restarted = PriorStarts::Until(START);
-    let mut drive = Drive::new(duty(true, restarted), START + COLD_US);
+    let mut driver = Driver::new(home_duty(true, restarted), START + COLD_US);
     for _ in 0..50 {
-        drive.offer(true);
-        drive.pass(20 * MILLISECOND);
-        drive.answer_look();
+        driver.offer(true);
+        driver.advance(20 * MILLISECOND);
+        driver.answer_probe();
     }
-    assert_eq!(drive.starts, [], "a second of the earlier run is not over");
-    drive.pass(50 * MILLISECOND);
-    drive.offer(true);
-    drive.answer_look();
-    assert_eq!(drive.starts.len(), 1);
+    assert_eq!(
+        driver.starts,
+        [],
+        "the window of the previous run is not over"
+    );
+    driver.advance(50 * MILLISECOND);
+    driver.offer(true);
+    driver.answer_probe();
+    assert_eq!(driver.starts.len(), 1);
 }
 
 #[test]
-fn a_node_that_starts_beside_a_warm_upstream_loses_one_look() {
-    let mut drive = Drive::new(duty(true, PriorStarts::Until(START)), START);
-    drive.pass(MILLISECOND);
-    drive.offer(true);
-    drive.answer_look();
-    assert_eq!((drive.starts.len(), drive.looks), (1, 1));
+fn restarted_node_uses_a_warm_upstream_after_one_probe() {
+    let mut driver = Driver::new(home_duty(true, PriorStarts::Until(START)), START);
+    driver.advance(MILLISECOND);
+    driver.offer(true);
+    driver.answer_probe();
+    assert_eq!((driver.starts.len(), driver.probes), (1, 1));
 }
 
 #[test]
-fn an_upstream_that_is_too_young_to_be_known_to_anyone_is_used_at_once() {
+fn upstream_too_young_to_be_known_to_a_previous_run_is_used_at_once() {
     let left_us = COLD_US - 400 * MILLISECOND;
     let until = START;
     for (left_us, starts) in [(left_us, 1), (left_us - SECOND, 0)] {
-        let earlier = PriorStarts::UnlessYoung {
+        let prior = PriorStarts::UnlessYoung {
             until,
             left_us,
             registration_gap_us: SECOND,
         };
-        let mut drive = Drive::new(duty(true, earlier), START + COLD_US);
-        drive.offer(true);
-        drive.answer_look();
-        assert_eq!(drive.starts.len(), starts);
+        let mut driver = Driver::new(home_duty(true, prior), START + COLD_US);
+        driver.offer(true);
+        driver.answer_probe();
+        assert_eq!(driver.starts.len(), starts);
     }
 }
 
-/// Requests name the identity that they are meant for, so that those for the earlier start are taken by the later one.
+/// Requests carry the identity that they are meant for, so that the new incarnation accepts those
+/// for the last one.
 #[test]
-fn a_start_under_the_same_identity_has_borne_what_was_meant_for_the_one_before() {
-    let mut drive = Drive::new(duty(true, PriorStarts::None), START + COLD_US);
-    for _ in 0..MOST - 2 {
-        drive.offer(true);
-        drive.answer_look();
-        drive.pass(10 * MILLISECOND);
+fn incarnation_with_the_same_identity_keeps_the_counted_starts() {
+    let mut driver = Driver::new(home_duty(true, PriorStarts::None), START + COLD_US);
+    for _ in 0..MAX_STARTS - 2 {
+        driver.offer(true);
+        driver.answer_probe();
+        driver.advance(10 * MILLISECOND);
     }
-    let actions = drive
+    let actions = driver
         .home
-        .upstream_replaced(drive.now, 11, PriorStarts::SameIdentity);
-    drive.perform(actions);
+        .upstream_replaced(driver.now, 11, PriorStarts::SameIdentity);
+    driver.perform(actions);
     for _ in 0..10 {
-        drive.offer(true);
-        drive.answer_look();
-        drive.pass(10 * MILLISECOND);
+        driver.offer(true);
+        driver.answer_probe();
+        driver.advance(10 * MILLISECOND);
     }
-    assert_eq!(drive.most_in_a_second(START), MOST as usize);
+    assert_eq!(driver.max_starts_per_second(START), MAX_STARTS as usize);
 }
 
 #[test]
-fn a_paused_process_counts_what_may_arrive_late() {
-    let mut drive = Drive::new(duty(true, PriorStarts::None), START + COLD_US);
-    drive.offer(true);
-    drive.answer_look();
-    assert_eq!(drive.starts.len(), 1);
-    drive.pass(2 * SECOND);
-    drive.home.paused(drive.now);
-    drive.offer(true);
-    drive.answer_look();
-    assert_eq!(drive.starts.len(), 1);
+fn paused_process_counts_requests_that_may_arrive_late() {
+    let mut driver = Driver::new(home_duty(true, PriorStarts::None), START + COLD_US);
+    driver.offer(true);
+    driver.answer_probe();
+    assert_eq!(driver.starts.len(), 1);
+    driver.advance(2 * SECOND);
+    driver.home.paused(driver.now);
+    driver.offer(true);
+    driver.answer_probe();
+    assert_eq!(driver.starts.len(), 1);
     assert!(matches!(
-        drive.home.cold_limiter().admission(drive.now, 0),
+        driver.home.cold_limiter().admission(driver.now, 0),
         ColdAdmission::Full(_)
     ));
 }
 
-/// What happens next in a drawn run.
+/// A step of a generated run.
 #[derive(Debug, Clone)]
 enum Step {
     Offer {
         may_queue: bool,
     },
-    Pass(u64),
-    AnswerLook,
-    /// It turns cold, and says nothing of it by itself.
+    Advance(u64),
+    AnswerProbe,
+    /// The upstream turns cold without reporting it.
     TurnCold(u64),
-    /// A registration that was sent so many milliseconds ago, while the upstream was as it is now.
+    /// A registration arrives that was sent `ago_ms` milliseconds ago, when the upstream was in its
+    /// current state.
     Register {
         ago_ms: u64,
     },
-    /// It ends and another run of it stands there, cold.
+    /// The upstream terminates and a new incarnation starts cold.
     Replace,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => any::<bool>().prop_map(|may_queue| Step::Offer { may_queue }),
-        4 => (0..60u64).prop_map(|ms| Step::Pass(ms * MILLISECOND)),
-        4 => Just(Step::AnswerLook),
+        4 => (0..60u64).prop_map(|ms| Step::Advance(ms * MILLISECOND)),
+        4 => Just(Step::AnswerProbe),
         1 => (1..3_000u64).prop_map(|ms| Step::TurnCold(ms * MILLISECOND)),
         1 => (0..400u64).prop_map(|ago_ms| Step::Register { ago_ms }),
         1 => Just(Step::Replace),
@@ -339,63 +350,65 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_turns_cold_when_gets_no_more_than_it_bears(
+    fn upstream_that_turns_cold_at_any_time_gets_at_most_its_declared_starts(
         steps in proptest::collection::vec(step(), 1..400),
-        looks in any::<bool>(),
+        can_probe in any::<bool>(),
     ) {
-        let mut drive = Drive::new(duty(looks, PriorStarts::None), START + COLD_US);
-        // Without looks only what the upstream says by itself is known: it is drawn cold from its start on.
+        let mut driver = Driver::new(home_duty(can_probe, PriorStarts::None), START + COLD_US);
+        // Without probes the node knows only what the upstream reports itself, so it turns cold
+        // only at its start.
         let mut cold_since = Some(START);
         for step in steps {
             match step {
-                Step::Offer { may_queue } => drive.offer(may_queue),
-                Step::Pass(us) => drive.pass(us),
-                Step::AnswerLook => drive.answer_look(),
-                Step::TurnCold(us) if looks => {
-                    if drive.cold_until <= drive.now {
-                        cold_since = Some(drive.now);
+                Step::Offer { may_queue } => driver.offer(may_queue),
+                Step::Advance(us) => driver.advance(us),
+                Step::AnswerProbe => driver.answer_probe(),
+                Step::TurnCold(us) if can_probe => {
+                    if driver.cold_until <= driver.now {
+                        cold_since = Some(driver.now);
                     }
-                    drive.cold_until = drive.cold_until.max(drive.now + us);
+                    driver.cold_until = driver.cold_until.max(driver.now + us);
                 }
                 Step::TurnCold(_) => {}
                 Step::Register { ago_ms } => {
-                    let left_us = drive.cold_until.since(drive.now) + ago_ms * MILLISECOND;
-                    let left_us = if drive.cold_until > drive.now { left_us } else { 0 };
-                    drive.home.cold_reported(drive.now, left_us);
+                    let left_us = driver.cold_until.since(driver.now) + ago_ms * MILLISECOND;
+                    let left_us = if driver.cold_until > driver.now { left_us } else { 0 };
+                    driver.home.cold_reported(driver.now, left_us);
                 }
                 Step::Replace => {
-                    let now = drive.now;
-                    let actions = drive.home.upstream_replaced(now, 11, PriorStarts::None);
-                    drive.cold_until = now + COLD_US;
+                    let now = driver.now;
+                    let actions = driver.home.upstream_replaced(now, 11, PriorStarts::None);
+                    driver.cold_until = now + COLD_US;
                     cold_since = Some(now);
-                    drive.starts.clear();
-                    drive.perform(actions);
+                    driver.starts.clear();
+                    driver.perform(actions);
                 }
             }
-            if let Some(since) = cold_since.filter(|_| drive.cold_until > drive.now) {
-                prop_assert!(drive.most_in_a_second(since) <= MOST as usize);
+            if let Some(since) = cold_since.filter(|_| driver.cold_until > driver.now) {
+                prop_assert!(driver.max_starts_per_second(since) <= MAX_STARTS as usize);
             }
         }
     }
 }
 
-/// An upstream that numbers its registrations from 0 had its first one acknowledged by a node that was then killed. The node
-/// that started in its place took the second one for the first, and sent as much again to the cold upstream, which fell.
+/// Guards against an overload crash after a restart of the node: it takes the second registration
+/// of a cold upstream, numbered 1 after 0, for the first, and starts as many requests again as its
+/// previous run, which had acknowledged the first one.
 #[test]
-fn a_second_registration_numbered_1_is_not_taken_for_the_first() {
+fn second_registration_numbered_1_is_not_taken_for_the_first() {
     let registration_gap_us = 200 * MILLISECOND;
     let second =
         PriorStarts::of_registration(1, START, COLD_US - 508 * MILLISECOND, registration_gap_us);
-    let mut home = duty(false, second);
+    let mut home = home_duty(false, second);
     home.cold_reported(START, COLD_US - 508 * MILLISECOND);
     assert!(matches!(
         home.cold_limiter().admission(START, 0),
         ColdAdmission::Full(_)
     ));
-    // The first one of a start that numbers them from 1 comes when it is young.
+    // The first registration of an incarnation that numbers them from 1 arrives while it is young.
     let first = PriorStarts::of_registration(1, START, COLD_US, registration_gap_us);
     assert_eq!(
-        duty(false, first).cold_limiter().admission(START, 0),
+        home_duty(false, first).cold_limiter().admission(START, 0),
         ColdAdmission::Free
     );
     assert_eq!(
--- a/components/home/tests/pace.rs
+++ b/components/home/tests/pace.rs
@@ -1,16 +1,16 @@
-//! Starts hang on what the upstream says of its pace.
+//! Starts depend on the slowdown that the upstream reports.
 
 use home::{
     Action, Class, Config, Home, Offer, ProbeResult, QueryReply, Reason, Slowdown, Verdict,
 };
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 
-const ME: BootId = BootId(1);
-const USUAL: u32 = 100;
-const SLOW: u32 = 500;
+const OWN_BOOT: BootId = BootId(1);
+const TYPICAL_PERCENT: u32 = 100;
+const SLOW_PERCENT: u32 = 500;
 const START: Moment = Moment(10 * SECOND);
-/// Time between two looks in these tests.
-const LOOK_US: u64 = 25 * MILLISECOND;
+/// Time between two probes in these tests.
+const PROBE_INTERVAL_US: u64 = 25 * MILLISECOND;
 
 fn id(seq: u64) -> AttemptId {
     AttemptId {
@@ -38,10 +38,10 @@
     }
 }
 
-/// A duty that can look, of an upstream with four slots.
-fn duty() -> Home<u64> {
+/// The home duty of an upstream with four slots that can be probed.
+fn home_duty() -> Home<u64> {
     Home::new(
-        ME,
+        OWN_BOOT,
         Config {
             slots: 4,
             adaptive: false,
@@ -51,11 +51,11 @@
     )
 }
 
-/// The same after a run of 200 ms at the usual pace.
-fn experienced() -> (Home<u64>, Moment) {
-    let mut home = duty();
+/// The same after a run of 200 ms without slowdown.
+fn home_duty_after_a_run() -> (Home<u64>, Moment) {
+    let mut home = home_duty();
     home.offer(START, &offer(1_000, true));
-    home.probe_finished(START, ProbeResult::percent(USUAL));
+    home.probe_finished(START, ProbeResult::percent(TYPICAL_PERCENT));
     let end = START + 200 * MILLISECOND;
     home.completed(end, id(1_000), Verdict::Good, Some(1));
     (home, end)
@@ -70,18 +70,18 @@
 }
 
 #[test]
-fn one_look_serves_all_starts_that_wait_for_it() {
-    let mut home = duty();
+fn one_probe_serves_all_waiting_starts() {
+    let mut home = home_duty();
     assert_eq!(home.offer(START, &offer(1, true)), [Action::Probe]);
     assert_eq!(home.offer(START, &offer(2, false)), []);
-    let actions = home.probe_finished(START + MILLISECOND, ProbeResult::percent(USUAL));
+    let actions = home.probe_finished(START + MILLISECOND, ProbeResult::percent(TYPICAL_PERCENT));
     assert_eq!(actions, [Action::Start(id(1)), Action::Start(id(2))]);
 }
 
 #[test]
-fn a_word_that_came_with_an_answer_saves_the_look() {
-    let mut home = duty();
-    home.slowdown_reported(START, USUAL);
+fn report_in_an_answer_saves_a_probe() {
+    let mut home = home_duty();
+    home.slowdown_reported(START, TYPICAL_PERCENT);
     let soon = START + 15 * MILLISECOND;
     assert_eq!(home.offer(soon, &offer(1, true)), [Action::Start(id(1))]);
     let late = START + 30 * MILLISECOND;
@@ -91,41 +91,41 @@
 }
 
 #[test]
-fn work_waits_while_a_slow_phase_lasts_and_what_may_not_wait_is_refused() {
-    let (mut home, now) = experienced();
+fn slow_phase_defers_attempts_and_refuses_those_that_may_not_queue() {
+    let (mut home, now) = home_duty_after_a_run();
     home.offer(now, &offer(1, true));
     home.offer(now, &offer(2, false));
-    let actions = home.probe_finished(now, ProbeResult::percent(SLOW));
+    let actions = home.probe_finished(now, ProbeResult::percent(SLOW_PERCENT));
     assert!(is_refused(&actions, 2), "{actions:?}");
     assert!(home.is_queued(id(1)));
     assert!(home.load(now).deferred_us > 50 * MILLISECOND);
     let actions = home.offer(now + MILLISECOND, &offer(3, false));
     assert!(is_refused(&actions, 3), "{actions:?}");
-    let later = now + LOOK_US;
+    let later = now + PROBE_INTERVAL_US;
     assert_eq!(home.tick(later), [Action::Probe]);
     assert_eq!(
-        home.probe_finished(later, ProbeResult::percent(USUAL)),
+        home.probe_finished(later, ProbeResult::percent(TYPICAL_PERCENT)),
         [Action::Start(id(1))]
     );
     assert_eq!(home.load(later).deferred_us, 0);
 }
 
 #[test]
-fn work_whose_slow_run_is_shorter_than_the_wait_begins_at_once_and_needs_no_word() {
-    let mut home = duty();
+fn attempt_whose_slow_run_is_shorter_than_the_wait_starts_without_a_probe() {
+    let mut home = home_duty();
     home.offer(START, &offer(1, true));
-    home.probe_finished(START, ProbeResult::percent(USUAL));
+    home.probe_finished(START, ProbeResult::percent(TYPICAL_PERCENT));
     let now = START + 10 * MILLISECOND;
     home.completed(now, id(1), Verdict::Good, Some(1));
     let later = now + SECOND;
     assert_eq!(home.offer(later, &offer(2, true)), [Action::Start(id(2))]);
-    home.slowdown_reported(later, SLOW);
+    home.slowdown_reported(later, SLOW_PERCENT);
     assert_eq!(home.offer(later, &offer(3, true)), [Action::Start(id(3))]);
 }
 
 #[test]
-fn without_a_word_work_starts_and_no_look_is_made_for_a_while() {
-    let mut home = duty();
+fn failed_probe_starts_the_attempt_and_suspends_probing() {
+    let mut home = home_duty();
     home.offer(START, &offer(1, true));
     assert_eq!(
         home.probe_finished(START, ProbeResult::NoAnswer),
@@ -138,37 +138,40 @@
 }
 
 #[test]
-fn an_attempt_that_waits_for_a_word_can_be_fenced_and_cancelled() {
-    let mut home = duty();
+fn attempt_that_waits_for_a_probe_can_be_fenced_and_cancelled() {
+    let mut home = home_duty();
     home.offer(START, &offer(1, true));
     home.offer(START, &offer(2, true));
-    assert_eq!(home.query(START, id(1), ME), QueryReply::Revoked);
+    assert_eq!(home.query(START, id(1), OWN_BOOT), QueryReply::Revoked);
     assert!(!home.cancel(START, id(2)));
-    assert_eq!(home.probe_finished(START, ProbeResult::percent(USUAL)), []);
+    assert_eq!(
+        home.probe_finished(START, ProbeResult::percent(TYPICAL_PERCENT)),
+        []
+    );
     assert!(home.is_idle());
 }
 
 #[test]
-fn slowness_that_lasts_holds_work_back_for_five_slow_phases_at_most() {
-    let (mut home, mut now) = experienced();
+fn lasting_slowdown_defers_attempts_for_at_most_five_slow_phases() {
+    let (mut home, mut now) = home_duty_after_a_run();
     home.offer(now, &offer(1, true));
     let begin = now;
     while home.is_queued(id(1)) {
-        assert!(now.since(begin) < 1_100 * MILLISECOND, "held back too long");
+        assert!(now.since(begin) < 1_100 * MILLISECOND, "deferred too long");
         if home.tick(now) == [Action::Probe] || now == begin {
-            home.probe_finished(now, ProbeResult::percent(SLOW));
+            home.probe_finished(now, ProbeResult::percent(SLOW_PERCENT));
         }
-        now = now + LOOK_US;
+        now = now + PROBE_INTERVAL_US;
     }
-    // A slow phase within the lasting slowness is one all the same.
+    // A slow phase relative to the lasting slowdown defers attempts again.
     home.offer(now, &offer(2, true));
-    home.probe_finished(now, ProbeResult::percent(5 * SLOW));
+    home.probe_finished(now, ProbeResult::percent(5 * SLOW_PERCENT));
     assert!(home.is_queued(id(2)));
 }
 
 #[test]
-fn an_upstream_that_starts_cold_is_not_held_back() {
-    let (mut home, now) = experienced();
+fn slowdown_of_a_cold_start_does_not_defer_attempts() {
+    let (mut home, now) = home_duty_after_a_run();
     home.offer(now, &offer(1, true));
     assert_eq!(
         home.probe_finished(now, ProbeResult::percent(200)),
@@ -176,26 +179,26 @@
     );
 }
 
-/// A pace after slow phases of `length_ms`, probed at every 20 ms.
+/// The slowdown after slow phases of `length_ms`, probed every 20 ms.
 fn after_phases(length_ms: u64) -> Slowdown {
-    let mut pace = Slowdown::default();
+    let mut slowdown = Slowdown::default();
     let mut now = START;
     for _ in 0..100 {
-        let looks = length_ms / 20;
-        for _ in 0..looks {
-            pace.reported(now, SLOW);
+        let probes = length_ms / 20;
+        for _ in 0..probes {
+            slowdown.reported(now, SLOW_PERCENT);
             now = now + 20 * MILLISECOND;
         }
-        for _ in 0..2 * looks + 1 {
-            pace.reported(now, USUAL);
+        for _ in 0..2 * probes + 1 {
+            slowdown.reported(now, TYPICAL_PERCENT);
             now = now + 20 * MILLISECOND;
         }
     }
-    pace
+    slowdown
 }
 
 #[test]
-fn the_length_of_slow_phases_is_learned() {
+fn length_of_slow_phases_is_learned() {
     for length_ms in [60, 200, 600] {
         let learned_ms = after_phases(length_ms).phase_us() / MILLISECOND as f64;
         let error = (learned_ms / length_ms as f64 - 1.0).abs();
@@ -204,29 +207,29 @@
 }
 
 #[test]
-fn the_time_of_a_run_is_learned_apart_from_the_pace_at_which_it_began() {
+fn run_time_is_learned_without_the_slowdown_at_which_it_began() {
     let class = Class {
         level: 0,
         repeatable: true,
     };
-    let mut pace = after_phases(200);
+    let mut slowdown = after_phases(200);
     for _ in 0..50 {
-        pace.record_run(class, 500 * MILLISECOND, SLOW);
+        slowdown.record_run(class, 500 * MILLISECOND, SLOW_PERCENT);
     }
     let now = START + 60 * SECOND;
-    pace.reported(now, USUAL);
-    pace.reported(now, 400);
+    slowdown.reported(now, TYPICAL_PERCENT);
+    slowdown.reported(now, 400);
     assert!(
-        pace.is_deferred(now, class),
-        "three times 100 ms more against the wait"
+        slowdown.is_deferred(now, class),
+        "the slowdown adds three times 100 ms, more than the wait"
     );
     for _ in 0..100 {
-        pace.record_run(class, 20 * MILLISECOND, USUAL);
+        slowdown.record_run(class, 20 * MILLISECOND, TYPICAL_PERCENT);
     }
-    assert!(!pace.is_deferred(now, class));
+    assert!(!slowdown.is_deferred(now, class));
 }
 
-/// An offer with an objective of 600 ms, of a class that takes 200 ms.
+/// An offer with an objective of 600 ms in a class that takes 200 ms.
 fn urgent(seq: u64) -> Offer {
     Offer {
         objective_us: Some(600 * MILLISECOND),
@@ -234,13 +237,13 @@
     }
 }
 
-/// The offers refused when a slow phase goes on, with the time at which they were, in milliseconds.
+/// The offers that are refused while a slow phase lasts, and when, in milliseconds since `begin`.
 fn refused_in_a_long_phase(home: &mut Home<u64>, begin: Moment) -> Vec<(AttemptId, u64)> {
     let mut refused = Vec::new();
-    for look in 1..18u64 {
-        let now = begin + look * LOOK_US;
+    for probe in 1..18u64 {
+        let now = begin + probe * PROBE_INTERVAL_US;
         let mut actions = home.tick(now);
-        actions.extend(home.probe_finished(now, ProbeResult::percent(SLOW)));
+        actions.extend(home.probe_finished(now, ProbeResult::percent(SLOW_PERCENT)));
         for action in actions {
             if let Action::Refuse(id, _) = action {
                 refused.push((id, now.since(begin) / MILLISECOND));
@@ -251,13 +254,13 @@
 }
 
 #[test]
-fn who_waits_for_longer_than_a_part_of_the_objective_is_refused_in_a_slow_phase_too() {
-    let (mut home, now) = experienced();
+fn deferred_attempt_is_refused_after_its_share_of_the_objective() {
+    let (mut home, now) = home_duty_after_a_run();
     // All four slots are taken.
     for seq in 10..14 {
         home.offer(now, &offer(seq, true));
     }
-    home.probe_finished(now, ProbeResult::percent(USUAL));
+    home.probe_finished(now, ProbeResult::percent(TYPICAL_PERCENT));
     home.offer(now, &urgent(1));
     let refused = refused_in_a_long_phase(&mut home, now);
     // 0.22 of 600 ms.
@@ -268,28 +271,28 @@
 }
 
 #[test]
-fn without_budget_for_a_look_the_last_word_holds_for_a_moment() {
-    let (mut home, now) = experienced();
+fn last_report_counts_briefly_when_a_probe_is_denied() {
+    let (mut home, now) = home_duty_after_a_run();
     home.offer(now, &offer(1, true));
-    home.probe_finished(now, ProbeResult::percent(SLOW));
-    let later = now + LOOK_US;
+    home.probe_finished(now, ProbeResult::percent(SLOW_PERCENT));
+    let later = now + PROBE_INTERVAL_US;
     assert_eq!(home.tick(later), [Action::Probe]);
     assert_eq!(home.probe_finished(later, ProbeResult::NoBudget), []);
-    assert!(home.is_queued(id(1)), "it began in a slow phase");
-    let next = later + LOOK_US;
+    assert!(home.is_queued(id(1)), "it started in a slow phase");
+    let next = later + PROBE_INTERVAL_US;
     assert_eq!(home.tick(next), [Action::Probe]);
-    let actions = home.probe_finished(next, ProbeResult::percent(USUAL));
+    let actions = home.probe_finished(next, ProbeResult::percent(TYPICAL_PERCENT));
     assert_eq!(actions, [Action::Start(id(1))]);
 }
 
 #[test]
-fn an_upstream_that_was_down_takes_work_again_once_a_look_finds_it() {
-    let (mut home, now) = experienced();
-    home.slowdown_reported(now, USUAL);
+fn upstream_that_was_down_gets_attempts_after_a_successful_probe() {
+    let (mut home, now) = home_duty_after_a_run();
+    home.slowdown_reported(now, TYPICAL_PERCENT);
     home.offer(now, &offer(1, true));
     home.completed(now, id(1), Verdict::NotSent, None);
     let later = now + SECOND;
     assert_eq!(home.offer(later, &offer(2, true)), [Action::Probe]);
-    let actions = home.probe_finished(later, ProbeResult::percent(USUAL));
+    let actions = home.probe_finished(later, ProbeResult::percent(TYPICAL_PERCENT));
     assert_eq!(actions, [Action::Start(id(2))]);
 }
