--- a/components/accounts/src/digest.rs
+++ b/components/accounts/src/digest.rs
@@ -1,36 +1,38 @@
-//! What stands for a key once it was read.
+//! Digests that stand in for API keys after parsing.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::str::FromStr;
 use subtle::ConstantTimeEq;
 
-/// Bytes of the SHA-256 digest that are kept: enough that nobody finds a second key for a digest, and half of what
-/// declarations with thousands of keys would take otherwise.
+/// Length of the kept prefix of the SHA-256 digest. 128 bits make it infeasible to find a second
+/// key for a digest, and take half the space of full digests in declarations with thousands of
+/// keys.
 const BYTES: usize = 16;
 
-/// The digest of a key. Keys are random and long, so a digest doesn't lead back to its key.
+/// The digest of a key. Keys are long and random, so that a key can't be recovered from its digest.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key, byte for byte as it was sent.
+    /// Hashes the bytes of a key exactly as received.
     pub fn of(key: &[u8]) -> KeyDigest {
         let digest = Sha256::digest(key);
-        let mut kept = [0; BYTES];
-        kept.copy_from_slice(&digest[..BYTES]);
-        KeyDigest(kept)
+        let mut prefix = [0; BYTES];
+        prefix.copy_from_slice(&digest[..BYTES]);
+        KeyDigest(prefix)
     }
 
-    /// The part by which a table finds the few digests that may be equal.
-    pub(crate) fn bucket(&self) -> [u8; 8] {
-        let mut bucket = [0; 8];
-        bucket.copy_from_slice(&self.0[..8]);
-        bucket
+    /// The key of the hash table that holds digests; the few digests that share it are compared in
+    /// full.
+    pub(crate) fn table_key(&self) -> [u8; 8] {
+        let mut table_key = [0; 8];
+        table_key.copy_from_slice(&self.0[..8]);
+        table_key
     }
 }
 
-/// Takes the same time wherever two digests differ.
+/// Compares in constant time, so that response times reveal nothing about a digest.
 impl PartialEq for KeyDigest {
     fn eq(&self, other: &KeyDigest) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -42,7 +44,7 @@
 impl FromStr for KeyDigest {
     type Err = ();
 
-    /// Reads the hexadecimal form.
+    /// Parses the hexadecimal form.
     fn from_str(text: &str) -> Result<KeyDigest, ()> {
         let is_hex = text.len() == 2 * BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         match u128::from_str_radix(text, 16) {
@@ -61,7 +63,7 @@
     }
 }
 
-/// Says nothing: digests don't belong into lines.
+/// Redacted: digests must not appear in logs.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
--- a/components/accounts/src/identify.rs
+++ b/components/accounts/src/identify.rs
@@ -1,33 +1,35 @@
-//! Whether a request may go on, and in whose name.
+//! Authentication of requests to client accounts.
 
 use crate::digest::KeyDigest;
 use crate::table::{Account, Accounts};
 use std::sync::Arc;
 
-/// What a request brings to say who asks.
+/// How a request identifies its client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Credential {
-    /// No key.
+    /// The request carries no key.
     Missing,
-    /// A key.
+    /// The digest of the key that the request carries.
     Key(KeyDigest),
-    /// The upstream beside this node makes the request while it runs one of this account, if that had any.
+    /// A call that the local upstream makes while it runs a request: it belongs to the account of
+    /// that request, if any.
     Inherited(Option<Arc<Account>>),
 }
 
-/// How new what is known of the accounts must be, and is.
+/// Age of the known declarations, and the bound on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
-    /// Time since the platform was last known to hold nothing newer, in microseconds; none if it never was.
+    /// Time since the declarations in force were last confirmed as the newest, in microseconds;
+    /// `None` if never.
     pub age_us: Option<u64>,
-    /// A key that was withdrawn lets nobody in after this time, in microseconds; none: declarations are believed
-    /// however old they are.
+    /// Time after which a withdrawn key must no longer be accepted (setting `withdrawn_within`), in
+    /// microseconds; `None`: keys are checked against declarations of any age.
     pub max_age_us: Option<u64>,
 }
 
 impl Freshness {
-    /// Whether a key that was withdrawn earlier than the bound allows would be known as withdrawn.
-    fn holds(&self) -> bool {
+    /// Whether any key withdrawn longer ago than the bound is known to be withdrawn.
+    fn is_within_bound(&self) -> bool {
         match (self.max_age_us, self.age_us) {
             (None, _) => true,
             (Some(_), None) => false,
@@ -36,33 +38,33 @@
     }
 }
 
-/// Why a request may not go on.
+/// Why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DenyReason {
-    /// It carries no key and its route is not open to all.
+    /// It carries no key, and its route requires one.
     NoKey,
-    /// Nobody holds the key that it carries.
+    /// Its key belongs to no account.
     UnknownKey,
-    /// The key may have been withdrawn without this node knowing.
+    /// The declarations are too old to rule out that the key was withdrawn.
     StaleKeys,
 }
 
-/// In whose name a request goes on; none where no account is needed. A key that is sent must be held by somebody, also
-/// on a route that is open to all.
+/// The account of a request; `None` where no account is needed. A key that a request carries must
+/// belong to an account, also on a route that is open to anonymous requests.
 pub fn identify(
     accounts: &Accounts,
-    presented: Credential,
+    credential: Credential,
     is_open: bool,
-    proof: Freshness,
+    freshness: Freshness,
 ) -> Result<Option<Arc<Account>>, DenyReason> {
     if accounts.is_empty() {
         return Ok(None);
     }
-    match presented {
+    match credential {
         Credential::Inherited(account) => Ok(account),
         Credential::Missing if is_open => Ok(None),
         Credential::Missing => Err(DenyReason::NoKey),
-        Credential::Key(_) if !proof.holds() => Err(DenyReason::StaleKeys),
+        Credential::Key(_) if !freshness.is_within_bound() => Err(DenyReason::StaleKeys),
         Credential::Key(digest) => match accounts.holder(&digest) {
             Some(account) => Ok(Some(account.clone())),
             None => Err(DenyReason::UnknownKey),
--- a/components/accounts/src/lib.rs
+++ b/components/accounts/src/lib.rs
@@ -1,8 +1,8 @@
-//! Client accounts: who asks, by the key that a request carries.
+//! Client accounts, identified by the API key of a request.
 //!
-//! A key is turned into a [`KeyDigest`] where it is read, and nothing behind that point knows the key itself.
-//! [`Accounts`] finds the account that holds a digest; [`identify`] decides whether a request may go on, and in whose
-//! name.
+//! A key is hashed into a [`KeyDigest`] where it is parsed; the key itself is passed no further.
+//! [`Accounts`] finds the account that holds a digest. [`identify`] accepts or denies a request and
+//! returns its account.
 
 mod digest;
 mod identify;
--- a/components/accounts/tests/accounts.rs
+++ b/components/accounts/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Who asks, by the key that a request carries.
+//! Identification of client accounts by the key of a request.
 
 use accounts::{
     identify, Account, Accounts, Credential, DenyReason, DuplicateKey, Freshness, KeyDigest,
@@ -17,12 +17,12 @@
     }
 }
 
-fn of_two() -> Accounts {
+fn two_accounts() -> Accounts {
     let mut accounts = Accounts::default();
     for (name, key) in [("clinic", "key-of-clinic"), ("desk", "key-of-desk")] {
         let account = accounts.add(account(name));
-        let given = accounts.assign_key(KeyDigest::of(key.as_bytes()), &account);
-        given.expect("a key of its own");
+        let assigned = accounts.assign_key(KeyDigest::of(key.as_bytes()), &account);
+        assigned.expect("distinct keys");
     }
     accounts
 }
@@ -31,96 +31,99 @@
     Credential::Key(KeyDigest::of(key.as_bytes()))
 }
 
-fn believed() -> Freshness {
+fn unbounded() -> Freshness {
     Freshness {
         age_us: None,
         max_age_us: None,
     }
 }
 
-fn strict(age_us: Option<u64>) -> Freshness {
+fn bounded(age_us: Option<u64>) -> Freshness {
     Freshness {
         age_us,
         max_age_us: Some(BOUND_US),
     }
 }
 
-fn who(
+fn account_name(
     accounts: &Accounts,
-    presented: Credential,
+    credential: Credential,
     is_open: bool,
 ) -> Result<Option<String>, DenyReason> {
-    let found = identify(accounts, presented, is_open, believed())?;
+    let found = identify(accounts, credential, is_open, unbounded())?;
     Ok(found.map(|account| account.name.to_string()))
 }
 
 #[test]
-fn the_holder_of_a_key_is_found_and_nobody_else() {
-    let accounts = of_two();
-    let of_desk = who(&accounts, key("key-of-desk"), false);
-    assert_eq!(of_desk, Ok(Some("desk".to_string())));
+fn a_key_identifies_its_account_and_no_other() {
+    let accounts = two_accounts();
+    let found = account_name(&accounts, key("key-of-desk"), false);
+    assert_eq!(found, Ok(Some("desk".to_string())));
     for wrong in ["", "key-of-des", "key-of-desk ", "KEY-OF-DESK"] {
         assert_eq!(
-            who(&accounts, key(wrong), false),
+            account_name(&accounts, key(wrong), false),
             Err(DenyReason::UnknownKey)
         );
     }
 }
 
 #[test]
-fn a_key_that_nobody_holds_is_refused_on_an_open_route_too() {
-    let accounts = of_two();
+fn an_unknown_key_is_denied_also_on_an_open_route() {
+    let accounts = two_accounts();
     assert_eq!(
-        who(&accounts, key("guess"), true),
+        account_name(&accounts, key("guess"), true),
         Err(DenyReason::UnknownKey)
     );
-    assert_eq!(who(&accounts, Credential::Missing, true), Ok(None));
+    assert_eq!(account_name(&accounts, Credential::Missing, true), Ok(None));
     assert_eq!(
-        who(&accounts, Credential::Missing, false),
+        account_name(&accounts, Credential::Missing, false),
         Err(DenyReason::NoKey)
     );
 }
 
 #[test]
-fn calls_go_on_in_the_name_of_their_request() {
-    let accounts = of_two();
+fn calls_inherit_the_account_of_their_request() {
+    let accounts = two_accounts();
     let clinic = accounts.get("clinic").cloned();
-    let called = who(&accounts, Credential::Inherited(clinic), false);
-    assert_eq!(called, Ok(Some("clinic".to_string())));
-    assert_eq!(who(&accounts, Credential::Inherited(None), false), Ok(None));
+    let inherited = account_name(&accounts, Credential::Inherited(clinic), false);
+    assert_eq!(inherited, Ok(Some("clinic".to_string())));
+    assert_eq!(
+        account_name(&accounts, Credential::Inherited(None), false),
+        Ok(None)
+    );
 }
 
 #[test]
-fn without_accounts_nobody_needs_a_key() {
-    let none = Accounts::default();
-    assert_eq!(who(&none, Credential::Missing, false), Ok(None));
-    assert_eq!(who(&none, key("any"), false), Ok(None));
+fn no_key_is_needed_without_accounts() {
+    let empty = Accounts::default();
+    assert_eq!(account_name(&empty, Credential::Missing, false), Ok(None));
+    assert_eq!(account_name(&empty, key("any"), false), Ok(None));
 }
 
 #[test]
-fn a_key_is_refused_while_its_withdrawal_might_be_unknown() {
-    let accounts = of_two();
-    let asked = |age_us| {
-        let found = identify(&accounts, key("key-of-desk"), false, strict(age_us));
+fn a_key_is_denied_while_the_declarations_are_too_old_to_rule_out_its_withdrawal() {
+    let accounts = two_accounts();
+    let outcome = |age_us| {
+        let found = identify(&accounts, key("key-of-desk"), false, bounded(age_us));
         found.map(|account| account.is_some())
     };
-    assert_eq!(asked(Some(0)), Ok(true));
-    assert_eq!(asked(Some(BOUND_US - 1)), Ok(true));
-    assert_eq!(asked(Some(BOUND_US)), Err(DenyReason::StaleKeys));
-    assert_eq!(asked(None), Err(DenyReason::StaleKeys));
+    assert_eq!(outcome(Some(0)), Ok(true));
+    assert_eq!(outcome(Some(BOUND_US - 1)), Ok(true));
+    assert_eq!(outcome(Some(BOUND_US)), Err(DenyReason::StaleKeys));
+    assert_eq!(outcome(None), Err(DenyReason::StaleKeys));
 }
 
 #[test]
-fn a_key_has_one_holder() {
-    let mut accounts = of_two();
+fn a_key_is_assigned_to_one_account_at_most() {
+    let mut accounts = two_accounts();
     let third = accounts.add(account("third"));
-    let given = accounts.assign_key(KeyDigest::of(b"key-of-desk"), &third);
+    let assigned = accounts.assign_key(KeyDigest::of(b"key-of-desk"), &third);
     let holder = Name::from("desk");
-    assert_eq!(given, Err(DuplicateKey { holder }));
+    assert_eq!(assigned, Err(DuplicateKey { holder }));
 }
 
 #[test]
-fn digests_are_read_back_and_shown_nowhere() {
+fn digests_round_trip_as_text_and_are_redacted_in_debug_output() {
     let digest = KeyDigest::of(b"key-of-desk");
     assert_eq!(digest.to_string().parse(), Ok(digest));
     assert_eq!(format!("{digest:?}"), "KeyDigest(..)");
@@ -136,15 +139,15 @@
 }
 
 proptest! {
-    /// Against a plain map from keys to names.
+    /// Compares with a plain map from keys to names.
     #[test]
     fn the_table_agrees_with_a_map(
-        given in prop::collection::vec((prop::collection::vec(any::<u8>(), 0..6), 0..8_u8), 0..60),
-        asked in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..6), 0..40),
+        assigned in prop::collection::vec((prop::collection::vec(any::<u8>(), 0..6), 0..8_u8), 0..60),
+        looked_up in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..6), 0..40),
     ) {
         let mut accounts = Accounts::default();
         let mut map = BTreeMap::new();
-        for (key, holder) in given {
+        for (key, holder) in assigned {
             let name = format!("account-{holder}");
             let account = match accounts.get(&name) {
                 Some(account) => account.clone(),
@@ -155,7 +158,7 @@
             map.entry(key).or_insert(name);
         }
         prop_assert_eq!(accounts.key_count(), map.len());
-        for key in asked.iter().chain(map.keys()) {
+        for key in looked_up.iter().chain(map.keys()) {
             let holder = accounts.holder(&KeyDigest::of(key));
             let holder = holder.map(|account| account.name.to_string());
             prop_assert_eq!(holder.as_ref(), map.get(key));
