--- a/components/quota/src/lender.rs
+++ b/components/quota/src/lender.rs
@@ -1,113 +1,114 @@
-//! To whom a node lends its part of every limit.
+//! Leases of a node's share of every limit to token holders.
 
 use names::{Moment, Name, MILLISECOND, SECOND};
 
-/// How long a share is lent; it is lent anew at each step.
+/// Duration of a lease, in microseconds; each [`LeaseGranter::renew`] starts it anew.
 const LEASE_US: u64 = 1_500 * MILLISECOND;
-/// Added to a lease before the share is lent elsewhere: the way of the message, which its receiver can't see.
-const WAY_US: u64 = 100 * MILLISECOND;
-/// A VM that has just joined owns no share for so long: the others must count it first.
+/// Margin between the expiry of a lease and a lease of the same share to another holder, in
+/// microseconds. It covers the transit time of the message, which the receiver doesn't know.
+const TRANSIT_US: u64 = 100 * MILLISECOND;
+/// A VM that has just joined owns no share for this time, in microseconds: the others must count it
+/// first.
 pub const JOIN_DELAY_US: u64 = 5 * SECOND;
-/// Collectors that a node lends to, an equal part to each: with one of them lost, the other still serves more than
-/// what accounts usually ask.
+/// Number of token holders that a node leases to, an equal share to each. If one fails, the other
+/// still serves more than accounts typically request.
 pub(crate) const TOKEN_HOLDERS: usize = 2;
 
-/// A part of every limit, for a time.
+/// A share of every limit, for a limited time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Lease {
-    /// Who may use it.
+    /// The token holder.
     pub to: Name,
-    /// The part.
     pub share: f64,
-    /// For how long, in microseconds.
     pub duration_us: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Lent {
+struct GrantedLease {
     to: Name,
-    until: Moment,
+    expires: Moment,
 }
 
-/// The leases of one node.
+/// Grants the leases of one node.
 #[derive(Debug)]
 pub struct LeaseGranter {
-    owns_from: Moment,
-    lent: [Option<Lent>; TOKEN_HOLDERS],
+    owns_share_from: Moment,
+    granted: [Option<GrantedLease>; TOKEN_HOLDERS],
 }
 
 impl LeaseGranter {
-    /// A node that owns a share from `owns_from` on.
-    pub fn new(owns_from: Moment) -> LeaseGranter {
+    /// A granter that owns a share from `owns_share_from` on.
+    pub fn new(owns_share_from: Moment) -> LeaseGranter {
         LeaseGranter {
-            owns_from,
-            lent: [const { None }; TOKEN_HOLDERS],
+            owns_share_from,
+            granted: [const { None }; TOKEN_HOLDERS],
         }
     }
 
-    /// The others have counted this VM for long, so that it owns a share at once.
+    /// Makes the node own its share at once, because the others count its VM already.
     pub fn own_share_now(&mut self) {
-        self.owns_from = Moment(0);
+        self.owns_share_from = Moment(0);
     }
 
-    /// This VM is about to go: the others stop counting it. If it stays after all, it joins anew.
+    /// Drops the share when this node has announced the departure of its VM, because the others
+    /// stop counting it. If the VM stays after all, it owns a share again after [`JOIN_DELAY_US`].
     pub fn on_departure(&mut self, now: Moment) {
-        self.owns_from = now + JOIN_DELAY_US;
+        self.owns_share_from = now + JOIN_DELAY_US;
     }
 
-    /// Lends for a further while. `nodes`: the nodes that are known, this one included; `ranked`: those that can be
-    /// lent to, in an order on which all nodes agree.
+    /// Renews the leases. `nodes`: the number of known nodes, including this one; `ranked`: the
+    /// candidates for token holders, in an order that is the same on all nodes.
     pub fn renew(&mut self, now: Moment, nodes: usize, ranked: &[Name]) -> Vec<Lease> {
-        let owns = now >= self.owns_from;
-        let mut wanted = wanted(ranked);
+        let owns_share = now >= self.owns_share_from;
+        let mut wanted = wanted_holders(ranked);
         let mut leases = Vec::new();
-        let mut others = Vec::new();
-        for (slot, lent) in self.lent.iter().enumerate() {
-            let kept = lent
+        let mut free_slots = Vec::new();
+        for (slot, granted) in self.granted.iter().enumerate() {
+            let kept = granted
                 .as_ref()
-                .and_then(|lent| wanted.iter().position(|vm| *vm == lent.to));
+                .and_then(|lease| wanted.iter().position(|vm| *vm == lease.to));
             match kept {
                 Some(i) => leases.push((slot, wanted.remove(i))),
-                None => others.push(slot),
+                None => free_slots.push(slot),
             }
         }
-        let has_lapsed = |lent: &Option<Lent>| {
-            let until = lent.as_ref().map(|lent| lent.until + WAY_US);
-            until.is_none_or(|until| now >= until)
+        let has_expired = |granted: &Option<GrantedLease>| {
+            let expires = granted.as_ref().map(|lease| lease.expires + TRANSIT_US);
+            expires.is_none_or(|expires| now >= expires)
         };
-        for slot in others {
-            if has_lapsed(&self.lent[slot]) && !wanted.is_empty() {
+        for slot in free_slots {
+            if has_expired(&self.granted[slot]) && !wanted.is_empty() {
                 leases.push((slot, wanted.remove(0)));
             }
         }
         let leases: Vec<Lease> = leases
             .into_iter()
-            .map(|(slot, to)| self.lend(now, slot, to, nodes))
+            .map(|(slot, to)| self.grant(now, slot, to, nodes))
             .collect();
-        // One that owns nothing lends nothing, and still knows whom to ask.
-        if owns {
-            together(leases)
+        // Without a share there is no lease to send, but `holders_for` still needs the holders.
+        if owns_share {
+            merge_by_holder(leases)
         } else {
             Vec::new()
         }
     }
 
-    /// Whom to ask for a token of an account, first and next.
+    /// The holders to request a token of an account from, in this order.
     pub fn holders_for(&self, account: &Name) -> Vec<Name> {
-        let turn = account.as_str().bytes().map(usize::from).sum::<usize>();
-        let mut asked: Vec<Name> = Vec::new();
+        let offset = account.as_str().bytes().map(usize::from).sum::<usize>();
+        let mut holders: Vec<Name> = Vec::new();
         for i in 0..TOKEN_HOLDERS {
-            let lent = &self.lent[(turn + i) % TOKEN_HOLDERS];
-            let to = lent.as_ref().map(|lent| lent.to.clone());
-            asked.extend(to.filter(|to| !asked.contains(to)));
+            let granted = &self.granted[(offset + i) % TOKEN_HOLDERS];
+            let to = granted.as_ref().map(|lease| lease.to.clone());
+            holders.extend(to.filter(|to| !holders.contains(to)));
         }
-        asked
+        holders
     }
 
-    fn lend(&mut self, now: Moment, slot: usize, to: Name, nodes: usize) -> Lease {
-        self.lent[slot] = Some(Lent {
+    fn grant(&mut self, now: Moment, slot: usize, to: Name, nodes: usize) -> Lease {
+        self.granted[slot] = Some(GrantedLease {
             to: to.clone(),
-            until: now + LEASE_US,
+            expires: now + LEASE_US,
         });
         Lease {
             to,
@@ -117,20 +118,20 @@
     }
 }
 
-/// One lease to each collector.
-fn together(leases: Vec<Lease>) -> Vec<Lease> {
-    let mut together: Vec<Lease> = Vec::with_capacity(leases.len());
+/// Merges leases to the same holder.
+fn merge_by_holder(leases: Vec<Lease>) -> Vec<Lease> {
+    let mut merged: Vec<Lease> = Vec::with_capacity(leases.len());
     for lease in leases {
-        match together.iter_mut().find(|other| other.to == lease.to) {
+        match merged.iter_mut().find(|other| other.to == lease.to) {
             Some(other) => other.share += lease.share,
-            None => together.push(lease),
+            None => merged.push(lease),
         }
     }
-    together
+    merged
 }
 
-/// The collectors of a node; one stands for both where there is no other.
-fn wanted(ranked: &[Name]) -> Vec<Name> {
+/// The token holders of a node; the same one twice if there is only one candidate.
+fn wanted_holders(ranked: &[Name]) -> Vec<Name> {
     let two = ranked.iter().cycle().take(TOKEN_HOLDERS);
     two.cloned().collect()
 }
--- a/components/quota/src/lib.rs
+++ b/components/quota/src/lib.rs
@@ -1,10 +1,11 @@
-//! Quota: how many requests of a client account all nodes together let through.
+//! Rate limits of client accounts, enforced by all nodes together.
 //!
-//! Each node owns an equal part of every limit and lends it to two collectors of its hall ([`LeaseGranter`]), which keep the
-//! tokens of what was lent to them ([`TokenHolder`]). A request takes one token. A part counts at one place at a time: it
-//! is lent elsewhere only after the lease before it has lapsed. So all tokens together stay within the limit, however
-//! the fleet is split, and each part of a split fleet has the tokens of its own nodes. `docs/design/quotas.md` has the
-//! proof and what was weighed.
+//! Each node owns an equal share of every limit. It leases this share ([`LeaseGranter`]) to two
+//! token holders of its hall, which keep the tokens of the shares leased to them ([`TokenHolder`]).
+//! A request takes one token. A share is leased to another holder only after the previous lease has
+//! expired, so it counts at one holder at a time. All tokens together therefore stay within the
+//! limit however the network is partitioned, and each side of a partition has the tokens of its own
+//! nodes. `docs/design/quotas.md` has the proof and the alternatives considered.
 
 mod bounds;
 mod bucket;
--- a/components/quota/tests/first_loan.rs
+++ b/components/quota/tests/first_loan.rs
@@ -1,7 +1,8 @@
-//! Callers of limited accounts at a node that has just started.
+//! Callers of limited accounts wait for the first lease of a node that has just started.
 //!
-//! The load: all nodes start at once with a large set. Their declarations were in force after the 0.3 s from the start in which
-//! callers waited for the first lease, so that all were refused as `limit-unknown` until it came.
+//! Guards against refusing all of them as `limit-unknown`. This happened when all nodes started at
+//! once with large declarations, which came into force later than 0.3 s after the start: callers
+//! waited for the first lease only within these 0.3 s, and were then refused until it was granted.
 
 use accounts::{Account, Limit};
 use async_std::task::block_on;
@@ -9,10 +10,10 @@
 use quota::{Admission, Bounds, Message, Peers, Quotas};
 use std::cell::Cell;
 
-/// A node that reaches nobody; time goes on with each look at the clock.
-struct Alone(Cell<Moment>);
+/// No other node is reachable. Each reading of the clock advances it by 20 ms.
+struct NoPeers(Cell<Moment>);
 
-impl Peers for Alone {
+impl Peers for NoPeers {
     fn now(&self) -> Moment {
         let now = self.0.get() + 20 * MILLISECOND;
         self.0.set(now);
@@ -42,13 +43,13 @@
     fn send(&self, _: &Name, _: Message) {}
 }
 
-/// How long a caller waited that came so long after the start, in microseconds.
-fn waited_us(quotas: &Quotas, peers: &Alone) -> u64 {
-    waited_of_us(quotas, peers, 10 * SECOND)
+/// Wait of a caller with 10 s until its deadline, in microseconds.
+fn waited_us(quotas: &Quotas, peers: &NoPeers) -> u64 {
+    waited_with_deadline_us(quotas, peers, 10 * SECOND)
 }
 
-/// The same for a caller that has so much time left.
-fn waited_of_us(quotas: &Quotas, peers: &Alone, left_us: u64) -> u64 {
+/// Wait of a caller with `left_us` until its deadline, in microseconds.
+fn waited_with_deadline_us(quotas: &Quotas, peers: &NoPeers, left_us: u64) -> u64 {
     let account = Account {
         name: Name::from("clinic"),
         priority: 0,
@@ -63,7 +64,7 @@
     peers.0.get().since(before)
 }
 
-fn started() -> Quotas {
+fn quotas_started_at_zero() -> Quotas {
     let bounds = Bounds {
         overshoot: 0.1,
         slack: 20.0,
@@ -73,40 +74,52 @@
 }
 
 #[test]
-fn callers_of_a_node_whose_declarations_came_late_wait_for_the_first_loan() {
-    let (quotas, peers) = (started(), Alone(Cell::new(Moment(600 * MILLISECOND))));
+fn callers_wait_for_the_first_lease_when_declarations_arrive_late() {
+    let (quotas, peers) = (
+        quotas_started_at_zero(),
+        NoPeers(Cell::new(Moment(600 * MILLISECOND))),
+    );
     let first = waited_us(&quotas, &peers);
     assert!(first >= 300 * MILLISECOND, "{first}");
-    let next = waited_us(&quotas, &peers);
+    let second = waited_us(&quotas, &peers);
     assert!(
-        next < 100 * MILLISECOND,
-        "all wait for the same lease: {next}"
+        second < 100 * MILLISECOND,
+        "all callers wait until the same time: {second}"
     );
 }
 
 #[test]
-fn callers_of_a_node_that_runs_for_long_do_not_wait() {
-    let (quotas, peers) = (started(), Alone(Cell::new(Moment(10 * SECOND))));
+fn callers_do_not_wait_at_a_node_that_started_long_ago() {
+    let (quotas, peers) = (
+        quotas_started_at_zero(),
+        NoPeers(Cell::new(Moment(10 * SECOND))),
+    );
     let waited = waited_us(&quotas, &peers);
     assert!(waited < 100 * MILLISECOND, "{waited}");
 }
 
 #[test]
-fn nobody_waits_beyond_the_time_in_which_a_node_connects() {
-    let (quotas, peers) = (started(), Alone(Cell::new(Moment(1_400 * MILLISECOND))));
+fn callers_wait_no_longer_than_the_connect_timeout() {
+    let (quotas, peers) = (
+        quotas_started_at_zero(),
+        NoPeers(Cell::new(Moment(1_400 * MILLISECOND))),
+    );
     let waited = waited_us(&quotas, &peers);
     assert!(waited < 200 * MILLISECOND, "{waited}");
 }
 
-/// Guards against a caller that waits for the first lease until it has no time left for its run.
+/// Guards against a wait for the first lease that leaves no time to run the request.
 #[test]
-fn a_caller_waits_for_the_first_loan_for_a_quarter_of_its_time_at_most() {
-    let (quotas, peers) = (started(), Alone(Cell::new(Moment(600 * MILLISECOND))));
-    let waited = waited_of_us(&quotas, &peers, 400 * MILLISECOND);
+fn a_caller_waits_at_most_a_quarter_of_its_remaining_time() {
+    let (quotas, peers) = (
+        quotas_started_at_zero(),
+        NoPeers(Cell::new(Moment(600 * MILLISECOND))),
+    );
+    let waited = waited_with_deadline_us(&quotas, &peers, 400 * MILLISECOND);
     assert!(
         (80..200).contains(&(waited / MILLISECOND)),
         "{waited} us of 400 ms"
     );
-    let waited = waited_of_us(&quotas, &peers, 0);
+    let waited = waited_with_deadline_us(&quotas, &peers, 0);
     assert!(waited < 100 * MILLISECOND, "{waited}");
 }
--- a/components/quota/tests/shares.rs
+++ b/components/quota/tests/shares.rs
@@ -1,4 +1,5 @@
-//! Shares and tokens over drawn splits of a fleet: no window gets more than the operators tolerate.
+//! Leases and tokens under generated network partitions: requests in any window stay within the
+//! tolerance.
 
 use accounts::Limit;
 use names::{Moment, Name, MILLISECOND, SECOND};
@@ -6,8 +7,8 @@
 use quota::{Bounds, Lease, LeaseGranter, TokenHolder};
 
 const STEP_US: u64 = 50 * MILLISECOND;
-/// Steps between two rounds of leases.
-const LEND_EVERY: u64 = 10;
+/// Steps between two renewals of leases.
+const RENEWAL_STEPS: u64 = 10;
 const WINDOW_US: u64 = 5 * SECOND;
 const BOUNDS: Bounds = Bounds {
     overshoot: 0.1,
@@ -15,20 +16,21 @@
     window_s: 5.0,
 };
 
-/// A lease on its way.
-struct Sent {
+/// A lease message in transit.
+struct InTransit {
     from: usize,
     lease: Lease,
     arrives: Moment,
 }
 
-/// Nodes of one hall, in groups that don't reach each other.
+/// Nodes of one hall. Those of different groups can't reach each other.
 struct World {
     now: Moment,
     groups: Vec<usize>,
-    lenders: Vec<LeaseGranter>,
-    collectors: Vec<TokenHolder>,
-    sent: Vec<Sent>,
+    granters: Vec<LeaseGranter>,
+    holders: Vec<TokenHolder>,
+    in_transit: Vec<InTransit>,
+    /// When each token was taken.
     granted: Vec<Moment>,
 }
 
@@ -45,21 +47,21 @@
         World {
             now: Moment(SECOND),
             groups: vec![0; nodes],
-            lenders: (0..nodes).map(|_| LeaseGranter::new(Moment(0))).collect(),
-            collectors: (0..nodes).map(|_| TokenHolder::new(BOUNDS)).collect(),
-            sent: Vec::new(),
+            granters: (0..nodes).map(|_| LeaseGranter::new(Moment(0))).collect(),
+            holders: (0..nodes).map(|_| TokenHolder::new(BOUNDS)).collect(),
+            in_transit: Vec::new(),
             granted: Vec::new(),
         }
     }
 
-    fn lend(&mut self, late_us: u64) {
+    fn renew_leases(&mut self, delay_us: u64) {
         let nodes = self.groups.len();
         for from in 0..nodes {
-            let near = (0..nodes).filter(|to| self.groups[*to] == self.groups[from]);
-            let ranked: Vec<Name> = near.map(name).collect();
-            for lease in self.lenders[from].renew(self.now, nodes, &ranked) {
-                let arrives = self.now + late_us;
-                self.sent.push(Sent {
+            let reachable = (0..nodes).filter(|to| self.groups[*to] == self.groups[from]);
+            let ranked: Vec<Name> = reachable.map(name).collect();
+            for lease in self.granters[from].renew(self.now, nodes, &ranked) {
+                let arrives = self.now + delay_us;
+                self.in_transit.push(InTransit {
                     from,
                     lease,
                     arrives,
@@ -68,34 +70,34 @@
         }
     }
 
-    /// Messages between groups are lost.
-    fn deliver(&mut self, late_us: u64) {
+    /// Delivers the messages that are due; those between groups are lost.
+    fn deliver(&mut self, delay_us: u64) {
         let now = self.now;
-        let (arrived, waiting) = std::mem::take(&mut self.sent)
+        let (arrived, in_transit) = std::mem::take(&mut self.in_transit)
             .into_iter()
-            .partition(|sent| sent.arrives <= now);
-        self.sent = waiting;
-        for Sent { from, lease, .. } in arrived {
+            .partition(|message| message.arrives <= now);
+        self.in_transit = in_transit;
+        for InTransit { from, lease, .. } in arrived {
             let to = (0..self.groups.len()).find(|to| name(*to) == lease.to);
             let to = to.expect("a node of this hall");
             if self.groups[to] == self.groups[from] {
-                let duration_us = lease.duration_us.saturating_sub(late_us);
-                self.collectors[to].add_lease(now, &name(from), lease.share, duration_us);
+                let duration_us = lease.duration_us.saturating_sub(delay_us);
+                self.holders[to].add_lease(now, &name(from), lease.share, duration_us);
             }
         }
     }
 
-    /// Every node wants `asks` tokens.
-    fn ask(&mut self, asks: u64, limit: Limit) {
+    /// Every node requests `requests` tokens.
+    fn request_tokens(&mut self, requests: u64, limit: Limit) {
         for node in 0..self.groups.len() {
-            for _ in 0..asks {
-                let asked = self.lenders[node].holders_for(&account());
-                let granted = asked.iter().any(|from| {
-                    let from = (0..self.groups.len()).find(|to| name(*to) == *from);
-                    let from = from.expect("a node of this hall");
-                    let collector = &mut self.collectors[from];
-                    self.groups[from] == self.groups[node]
-                        && collector.take(self.now, &account(), limit).is_ok()
+            for _ in 0..requests {
+                let holders = self.granters[node].holders_for(&account());
+                let granted = holders.iter().any(|holder| {
+                    let holder = (0..self.groups.len()).find(|to| name(*to) == *holder);
+                    let holder = holder.expect("a node of this hall");
+                    let tokens = &mut self.holders[holder];
+                    self.groups[holder] == self.groups[node]
+                        && tokens.take(self.now, &account(), limit).is_ok()
                 });
                 if granted {
                     self.granted.push(self.now);
@@ -104,31 +106,32 @@
         }
     }
 
-    /// The whole hall loses power, twice in a window at most.
+    /// All nodes of the hall lose power and restart a second later. The tolerance covers two of
+    /// these in a window.
     fn lose_power(&mut self) {
         let nodes = self.groups.len();
-        self.sent.clear();
+        self.in_transit.clear();
         self.now = self.now + SECOND;
-        self.lenders = (0..nodes).map(|_| LeaseGranter::new(Moment(0))).collect();
-        self.collectors = (0..nodes).map(|_| TokenHolder::new(BOUNDS)).collect();
-        for collector in &mut self.collectors {
-            collector.restarted(self.now);
+        self.granters = (0..nodes).map(|_| LeaseGranter::new(Moment(0))).collect();
+        self.holders = (0..nodes).map(|_| TokenHolder::new(BOUNDS)).collect();
+        for holder in &mut self.holders {
+            holder.restarted(self.now);
         }
     }
 
-    fn run(&mut self, steps: u64, late_us: u64, asks: u64, limit: Limit) {
+    fn run(&mut self, steps: u64, delay_us: u64, requests: u64, limit: Limit) {
         for step in 0..steps {
-            if step % LEND_EVERY == 0 {
-                self.lend(late_us);
+            if step % RENEWAL_STEPS == 0 {
+                self.renew_leases(delay_us);
             }
-            self.deliver(late_us);
-            self.ask(asks, limit);
+            self.deliver(delay_us);
+            self.request_tokens(requests, limit);
             self.now = self.now + STEP_US;
         }
     }
 
-    /// Most that was granted in any window.
-    fn most_in_window(&self) -> usize {
+    /// Maximum number of tokens taken in any window.
+    fn max_in_window(&self) -> usize {
         let ends = self.granted.iter().enumerate().map(|(i, end)| {
             let begin = self.granted.partition_point(|at| *at + WINDOW_US <= *end);
             i + 1 - begin
@@ -143,54 +146,56 @@
     in_window * (1.0 + BOUNDS.overshoot) + BOUNDS.slack
 }
 
-/// One while: who is in which group, for how long, how late messages are, how much is asked.
+/// A period with fixed groups, message delay and request rate.
 #[derive(Debug, Clone)]
-struct While {
+struct Phase {
+    /// Group of each node.
     groups: Vec<usize>,
     steps: u64,
-    late_us: u64,
-    asks: u64,
+    delay_us: u64,
+    /// Requests of each node in a step.
+    requests: u64,
 }
 
-fn whiles(nodes: usize) -> impl Strategy<Value = Vec<While>> {
-    let one = (
+fn phases(nodes: usize) -> impl Strategy<Value = Vec<Phase>> {
+    let phase = (
         prop::collection::vec(0..3_usize, nodes),
         1..120_u64,
         0..1_000 * MILLISECOND,
         0..4_u64,
     );
-    let one = one.prop_map(|(groups, steps, late_us, asks)| While {
+    let phase = phase.prop_map(|(groups, steps, delay_us, requests)| Phase {
         groups,
         steps,
-        late_us,
-        asks,
+        delay_us,
+        requests,
     });
-    prop::collection::vec(one, 1..8)
+    prop::collection::vec(phase, 1..8)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// However the fleet is split, and whatever is asked.
+    /// For any partitions, message delays and request rates.
     #[test]
-    fn no_window_gets_more_than_is_tolerated(
-        whiles in whiles(9),
+    fn requests_in_any_window_stay_within_the_tolerance(
+        phases in phases(9),
         requests_per_s in 1..200_u32,
         burst in 0..200_u32,
     ) {
         let limit = Limit { requests_per_s, burst };
         let mut world = World::new(9);
-        for one in whiles {
-            world.groups = one.groups;
-            world.run(one.steps, one.late_us, one.asks, limit);
+        for phase in phases {
+            world.groups = phase.groups;
+            world.run(phase.steps, phase.delay_us, phase.requests, limit);
         }
-        let most = world.most_in_window() as f64;
-        prop_assert!(most <= bound(limit), "{most} of {}", bound(limit));
+        let max = world.max_in_window() as f64;
+        prop_assert!(max <= bound(limit), "{max} of {}", bound(limit));
     }
 }
 
 #[test]
-fn an_account_gets_its_limit_while_the_hall_is_whole() {
+fn an_account_gets_its_full_limit_while_all_nodes_are_connected() {
     let limit = Limit {
         requests_per_s: 100,
         burst: 50,
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn each_part_of_a_split_hall_gets_its_own_part() {
+fn each_side_of_a_partition_gets_the_shares_of_its_nodes() {
     let limit = Limit {
         requests_per_s: 90,
         burst: 0,
@@ -211,7 +216,7 @@
     let mut world = World::new(9);
     world.run(100, 0, 0, limit);
     world.groups = vec![0, 0, 0, 0, 0, 0, 1, 1, 1];
-    // Leases run out, and are given anew within each part.
+    // Leases expire, and are granted again within each side.
     world.run(60, 0, 1, limit);
     world.granted.clear();
     world.run(400, 0, 3, limit);
@@ -221,31 +226,31 @@
 }
 
 #[test]
-fn a_token_that_was_not_used_can_be_taken_again_and_is_no_more_than_one() {
+fn returned_tokens_can_be_taken_again_up_to_the_capacity() {
     let limit = Limit {
         requests_per_s: 1,
         burst: 1,
     };
     let only = Name::from("only");
-    let mut collector = TokenHolder::new(Bounds::default());
-    collector.add_lease(Moment(0), &only, 1.0, 100 * SECOND);
+    let mut holder = TokenHolder::new(Bounds::default());
+    holder.add_lease(Moment(0), &only, 1.0, 100 * SECOND);
     let now = Moment(50 * SECOND);
-    assert!(collector.take(now, &account(), limit).is_ok());
-    let short = collector.take(now, &account(), limit);
-    let wait_us = short.expect_err("one is all").wait_us;
+    assert!(holder.take(now, &account(), limit).is_ok());
+    let refused = holder.take(now, &account(), limit);
+    let wait_us = refused.expect_err("no second token").wait_us;
     assert_eq!(wait_us, Some(SECOND));
-    collector.give_back(now, &account());
-    collector.give_back(now, &account());
-    assert!(collector.take(now, &account(), limit).is_ok());
-    assert!(collector.take(now, &account(), limit).is_err());
+    holder.give_back(now, &account());
+    holder.give_back(now, &account());
+    assert!(holder.take(now, &account(), limit).is_ok());
+    assert!(holder.take(now, &account(), limit).is_err());
 }
 
 #[test]
-fn a_share_counts_at_one_collector_at_a_time() {
-    let mut lender = LeaseGranter::new(Moment(0));
+fn a_share_is_leased_to_one_holder_at_a_time() {
+    let mut granter = LeaseGranter::new(Moment(0));
     let [a, b, c] = ["a", "b", "c"].map(Name::from);
     let now = Moment(SECOND);
-    let first = lender.renew(now, 10, &[a.clone(), b.clone()]);
+    let first = granter.renew(now, 10, &[a.clone(), b.clone()]);
     let to = |leases: &[Lease]| {
         leases
             .iter()
@@ -254,35 +259,35 @@
     };
     assert_eq!(to(&first), [a.clone(), b.clone()]);
     assert_eq!(first[0].share, 0.05);
-    // `a` is gone: what was lent to it counts there until its lease has lapsed.
-    let soon = lender.renew(now + SECOND, 10, &[b.clone(), c.clone()]);
+    // `a` is down: the share leased to it counts there until the lease has expired.
+    let soon = granter.renew(now + SECOND, 10, &[b.clone(), c.clone()]);
     assert_eq!(to(&soon), std::slice::from_ref(&b));
-    let later = lender.renew(now + 2 * SECOND, 10, &[b.clone(), c.clone()]);
+    let later = granter.renew(now + 2 * SECOND, 10, &[b.clone(), c.clone()]);
     assert_eq!(to(&later), [b, c]);
 }
 
 #[test]
-fn a_node_that_is_alone_keeps_its_own_share() {
-    let mut lender = LeaseGranter::new(Moment(0));
-    let me = Name::from("me");
-    let leases = lender.renew(Moment(SECOND), 4, std::slice::from_ref(&me));
-    let parts: f64 = leases.iter().map(|lease| lease.share).sum();
-    assert_eq!(parts, 0.25);
-    assert_eq!(lender.holders_for(&account()), [me]);
+fn a_node_without_peers_leases_its_share_to_itself() {
+    let mut granter = LeaseGranter::new(Moment(0));
+    let own_vm = Name::from("me");
+    let leases = granter.renew(Moment(SECOND), 4, std::slice::from_ref(&own_vm));
+    let share: f64 = leases.iter().map(|lease| lease.share).sum();
+    assert_eq!(share, 0.25);
+    assert_eq!(granter.holders_for(&account()), [own_vm]);
 }
 
 #[test]
-fn a_vm_that_has_just_joined_owns_nothing() {
-    let mut lender = LeaseGranter::new(Moment(5 * SECOND));
-    let me = [Name::from("me")];
-    assert_eq!(lender.renew(Moment(4 * SECOND), 4, &me), []);
-    // It takes tokens all the same, of what others own.
-    assert_eq!(lender.holders_for(&account()), me);
-    assert_eq!(lender.renew(Moment(5 * SECOND), 4, &me).len(), 1);
+fn a_vm_that_has_just_joined_grants_no_lease() {
+    let mut granter = LeaseGranter::new(Moment(5 * SECOND));
+    let own_vm = [Name::from("me")];
+    assert_eq!(granter.renew(Moment(4 * SECOND), 4, &own_vm), []);
+    // It still requests tokens, from the shares of others.
+    assert_eq!(granter.holders_for(&account()), own_vm);
+    assert_eq!(granter.renew(Moment(5 * SECOND), 4, &own_vm).len(), 1);
 }
 
 #[test]
-fn a_hall_that_loses_power_twice_stays_within_the_bound_and_serves_at_once() {
+fn a_hall_that_loses_power_twice_serves_at_once_and_stays_within_the_tolerance() {
     for requests_per_s in [2, 20, 200] {
         let limit = Limit {
             requests_per_s,
@@ -296,24 +301,24 @@
             world.run(4, 0, 1, limit);
             assert!(
                 world.granted.len() > before,
-                "nothing at {requests_per_s}/s"
+                "no request served at {requests_per_s}/s"
             );
             world.run(16, 0, 4, limit);
         }
         world.run(100, 0, 4, limit);
-        let most = world.most_in_window() as f64;
-        assert!(most <= bound(limit), "{most} of {}", bound(limit));
+        let max = world.max_in_window() as f64;
+        assert!(max <= bound(limit), "{max} of {}", bound(limit));
     }
 }
 
 #[test]
-fn a_vm_that_goes_owns_nothing_any_more() {
-    let mut lender = LeaseGranter::new(Moment(0));
-    let me = [Name::from("me")];
+fn a_departing_vm_grants_no_lease() {
+    let mut granter = LeaseGranter::new(Moment(0));
+    let own_vm = [Name::from("me")];
     let now = Moment(SECOND);
-    assert_eq!(lender.renew(now, 4, &me).len(), 1);
-    lender.on_departure(now + SECOND);
-    assert_eq!(lender.renew(now + SECOND, 4, &me), []);
-    assert_eq!(lender.renew(now + 5 * SECOND, 4, &me), []);
-    assert_eq!(lender.renew(now + 6 * SECOND, 4, &me).len(), 1);
+    assert_eq!(granter.renew(now, 4, &own_vm).len(), 1);
+    granter.on_departure(now + SECOND);
+    assert_eq!(granter.renew(now + SECOND, 4, &own_vm), []);
+    assert_eq!(granter.renew(now + 5 * SECOND, 4, &own_vm), []);
+    assert_eq!(granter.renew(now + 6 * SECOND, 4, &own_vm).len(), 1);
 }
