--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -10,70 +10,72 @@
 use crate::price::Price;
 use crate::shared::Entry;
 use crate::suspect::Suspect;
-use hedge::Second;
+use hedge::HedgeState;
 use home::{QueryReply, Reason, Refusal, Suspicion};
 use names::{AttemptId, Moment, Name};
 
-/// Offers of one request at most, counting those that were refused or handed back.
-const MOST_OFFERS: u32 = 8;
-/// Offers that may queue at most: three full queues mean that the service is overloaded.
-const MOST_QUEUE_OFFERS: u32 = 3;
-/// Told to callers when no home duty named a time, in milliseconds.
+/// Maximum number of offers of one request, including those that were refused or revoked.
+const MAX_OFFERS: u32 = 8;
+/// Maximum number of offers that may queue: three full queues mean that the service is overloaded.
+const MAX_QUEUE_OFFERS: u32 = 3;
+/// Retry-after time for callers when no home duty has sent one, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
-/// The same when every upstream is known to be full, in milliseconds: about the time in which one
-/// request of the users' sites ends.
+/// Retry-after time when every upstream is known to be full, in milliseconds: about the run time of
+/// one request in the deployments.
 const BUSY_RETRY_AFTER_MS: u64 = 100;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
     Idle,
     Waiting { id: AttemptId, to: Name },
-    Asking { id: AttemptId, to: Name },
+    Querying { id: AttemptId, to: Name },
     Done,
 }
 
-/// One request at its entry node. `A` is the type of a whole answer.
+/// One request at its entry node. `A` is the type of a complete answer.
 #[derive(Debug)]
 pub struct Call<A> {
     service: Name,
     treatment: Treatment,
     deadline: Moment,
     candidates: Vec<Candidate>,
-    /// Upstreams to which no connection is open, for when none of the candidates takes work any more.
+    /// Upstreams without an open connection, used when no candidate accepts work any more.
     reserve: Vec<Candidate>,
     state: State,
+    /// Upstreams that had no free slot for an offer that may not queue.
     refused_by: Vec<Name>,
-    closed: Vec<Name>,
-    /// Upstreams that handed the request back unrun.
+    /// VMs that get no further offer.
+    excluded: Vec<Name>,
+    /// VMs whose home duty revoked an attempt before it ran.
     revoked_by: Vec<Name>,
     offers: u32,
     queue_offers: u32,
-    asked_to_queue: bool,
+    offer_may_queue: bool,
     runs: u32,
-    /// Upstreams that have seen the request.
+    /// Number of upstreams that have received the request.
     arrivals: u32,
-    /// Whether a repeat was taken out of the budget and has reached no upstream yet.
-    repeat_paid: bool,
-    maybe_ran: bool,
+    /// Whether a repeat has been spent from the retry budget and has not reached an upstream yet.
+    repeat_pending: bool,
+    may_have_run: bool,
     fallback: Option<A>,
     last_refusal: Option<Refusal>,
-    contacted: bool,
-    late: u64,
+    has_certain_refusal: bool,
+    late_events: u64,
     price: Price,
-    /// Where it may run, once an upstream has ended while it ran the request.
+    /// VMs at which the request may run after an upstream has terminated while running it.
     suspect: Option<Suspect>,
     suspicion: Suspicion,
     /// When the current attempt was offered.
     offered_at: Moment,
-    second: Second,
-    /// Whether the request came under suspicion elsewhere while it ran.
+    hedge_state: HedgeState,
+    /// Whether the request has become a suspect because of another copy while it ran.
     hedge_forbidden: bool,
-    /// What the last step decided of a second attempt.
-    hedge: Option<Hedge>,
+    /// What the last step decided about a hedged attempt.
+    last_hedge: Option<Hedge>,
 }
 
 impl<A: Clone> Call<A> {
-    /// A call that has not begun.
+    /// Creates a call that has not begun.
     pub fn new(
         service: Name,
         treatment: Treatment,
@@ -88,49 +90,49 @@
             reserve: Vec::new(),
             state: State::Idle,
             refused_by: Vec::new(),
-            closed: Vec::new(),
+            excluded: Vec::new(),
             revoked_by: Vec::new(),
             offers: 0,
             queue_offers: 0,
-            asked_to_queue: false,
+            offer_may_queue: false,
             runs: 0,
             arrivals: 0,
-            repeat_paid: false,
-            maybe_ran: false,
+            repeat_pending: false,
+            may_have_run: false,
             fallback: None,
             last_refusal: None,
-            contacted: false,
-            late: 0,
+            has_certain_refusal: false,
+            late_events: 0,
             price: Price::default(),
             suspect: None,
             suspicion: Suspicion::None,
             offered_at: Moment(0),
-            second: Second::None,
+            hedge_state: HedgeState::None,
             hedge_forbidden: false,
-            hedge: None,
+            last_hedge: None,
         }
     }
 
-    /// Sets what offers may cost.
+    /// Sets the costs used to select upstreams, and the objective.
     pub fn with_price(mut self, price: Price) -> Call<A> {
         self.price = price;
         self
     }
 
-    /// Sets upstreams to which no connection is open. An offer to one waits for its connection.
+    /// Sets the upstreams without an open connection. An offer to one of them waits for the connection.
     pub fn with_reserve(mut self, reserve: Vec<Candidate>) -> Call<A> {
         self.reserve = reserve;
         self
     }
 
-    /// Sets that an upstream ended while it ran a copy of the request, and the VMs at which it may run, the best
-    /// first.
+    /// Makes the request a suspect, because an upstream terminated while running a copy of it. `order` lists
+    /// the VMs at which it may run, in order of preference.
     pub fn with_suspect_order(mut self, order: Vec<Name>) -> Call<A> {
         self.suspect = Some(Suspect::new(order));
         self
     }
 
-    /// Whether the outcome has been given.
+    /// Whether the call has ended.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
@@ -140,14 +142,14 @@
         self.offers
     }
 
-    /// Whether any home duty that knows the call's idempotency key refused an offer.
+    /// Whether an offer was refused by a home duty that knows whether the call's idempotency key was used.
     pub fn has_certain_refusal(&self) -> bool {
-        self.contacted
+        self.has_certain_refusal
     }
 
-    /// Events dropped because their attempt was no longer the call's.
+    /// Number of events dropped because their attempt was no longer a current one of the call.
     pub fn late_events(&self) -> u64 {
-        self.late
+        self.late_events
     }
 
     /// The caller's deadline.
@@ -155,27 +157,29 @@
         self.deadline
     }
 
-    /// Takes in an event and returns what has to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn step(&mut self, now: Moment, event: Event<A>, entry: &mut Entry) -> Vec<Action<A>> {
         if self.is_done() {
             return self.late_event(now, event, entry);
         }
-        if self.second.is_beside() {
-            return self.step_both(now, event, entry);
+        if self.hedge_state.is_in_flight() {
+            return self.step_hedged(now, event, entry);
         }
         match event {
             Event::Begin => self.begin(now, entry),
             Event::Expired => self.expired(entry),
-            Event::CallerDisconnected => self.hung_up(entry),
+            Event::CallerDisconnected => self.caller_disconnected(entry),
             Event::Refused(id, refusal) => self.refused(now, id, refusal, entry),
             Event::Revoked(id) => self.revoked(now, id, entry),
             Event::Answered { id, answer, error } => self.answered(now, id, answer, error, entry),
             Event::Broken(id) | Event::NodeGone(id) => self.broken(now, id, entry),
-            Event::UpstreamTerminated { id, order } => self.ended(now, id, order, entry),
+            Event::UpstreamTerminated { id, order } => {
+                self.upstream_terminated(now, id, order, entry)
+            }
             Event::NotSent(id) => self.not_sent(now, id, entry),
-            Event::ConnectionLost(id) => self.lost(now, id, entry),
-            Event::QueryReplied(id, reply) => self.told(now, id, reply, entry),
-            Event::NodeUnresponsive(id) => self.silent(now, id, entry),
+            Event::ConnectionLost(id) => self.connection_lost(now, id, entry),
+            Event::QueryReplied(id, reply) => self.query_replied(now, id, reply, entry),
+            Event::NodeUnresponsive(id) => self.node_unresponsive(now, id, entry),
             Event::Straggles(id) => self.straggles(now, id, entry),
         }
     }
@@ -186,22 +190,22 @@
             Origin::Upstream => {}
             Origin::UpstreamRepeat => entry.charge_retry(&self.service),
         }
-        self.next(now, entry)
+        self.offer_next(now, entry)
     }
 
-    /// Makes the next offer, or gives up.
-    fn next(&mut self, now: Moment, entry: &mut Entry) -> Vec<Action<A>> {
+    /// Makes the next offer, or ends the call when none is possible.
+    fn offer_next(&mut self, now: Moment, entry: &mut Entry) -> Vec<Action<A>> {
         self.state = State::Idle;
         if now >= self.deadline {
             return self.give_up(Reason::Deadline, entry);
         }
-        if self.offers >= MOST_OFFERS || self.queue_offers >= MOST_QUEUE_OFFERS {
+        if self.offers >= MAX_OFFERS || self.queue_offers >= MAX_QUEUE_OFFERS {
             return self.give_up(Reason::Busy, entry);
         }
         let may_queue = match entry.rule() {
             _ if self.suspect.is_some() => true,
-            SelectionRule::Expected => self.queue_next(now, entry),
-            SelectionRule::Priced => self.queue_next_priced(now, entry),
+            SelectionRule::Expected => self.next_may_queue(now, entry),
+            SelectionRule::Priced => self.next_may_queue_priced(now, entry),
             SelectionRule::TwoChoices | SelectionRule::Random => true,
         };
         let (picked, suspicion) = match &self.suspect {
@@ -209,8 +213,8 @@
             None => (self.pick(now, may_queue, entry), None),
         };
         self.suspicion = suspicion.unwrap_or_default();
-        if picked.is_none() && self.take_reserve() {
-            return self.next(now, entry);
+        if picked.is_none() && self.add_reserve() {
+            return self.offer_next(now, entry);
         }
         let Some(to) = picked else {
             let reason = if self.candidates.is_empty() {
@@ -220,7 +224,7 @@
             };
             return self.give_up(reason, entry);
         };
-        self.asked_to_queue = may_queue;
+        self.offer_may_queue = may_queue;
         let is_trial = self.suspicion == Suspicion::Alone;
         self.queue_offers += u32::from(may_queue && !is_trial);
         let id = entry.next_attempt();
@@ -245,13 +249,13 @@
         refusal: Refusal,
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
-        let Some(vm) = self.end(id, entry) else {
+        let Some(vm) = self.end_attempt(id, entry) else {
             entry.on_late_refusal(now, id, &refusal);
             return Vec::new();
         };
         self.last_refusal = Some(refusal);
-        self.contacted |= refusal.reason != Reason::Uncertain;
-        if refusal.reason == Reason::Busy && self.might_queue() {
+        self.has_certain_refusal |= refusal.reason != Reason::Uncertain;
+        if refusal.reason == Reason::Busy && self.could_queue() {
             entry.on_busy_refusal(now, &self.service);
         }
         match refusal.reason {
@@ -259,33 +263,33 @@
             Reason::KeyUsed => return self.finish(Outcome::Unknown(Reason::KeyUsed), entry),
             Reason::Quarantined => return self.give_up(Reason::Quarantined, entry),
             Reason::Shed => return self.shed(now, vm, entry),
-            Reason::Busy if self.suspect.is_some() => self.was_busy(vm),
-            Reason::Busy if !self.asked_to_queue => self.refused_by.push(vm),
+            Reason::Busy if self.suspect.is_some() => self.suspect_was_busy(vm),
+            Reason::Busy if !self.offer_may_queue => self.refused_by.push(vm),
             Reason::Leaving => {
                 entry.set_draining(now, &vm, true);
-                self.close(vm);
+                self.exclude(vm);
             }
-            _ => self.close(vm),
+            _ => self.exclude(vm),
         }
-        self.next(now, entry)
+        self.offer_next(now, entry)
     }
 
-    /// An upstream has seen the request and turned it away, so the next one sees a repeat.
+    /// Handles a request that an upstream received and rejected: the next upstream receives a repeat.
     fn shed(&mut self, now: Moment, vm: Name, entry: &mut Entry) -> Vec<Action<A>> {
-        self.close(vm);
-        self.arrived();
-        if !self.may_reach_another(entry) {
+        self.exclude(vm);
+        self.record_arrival();
+        if !self.try_spend_repeat(entry) {
             return self.give_up(Reason::Shed, entry);
         }
-        self.next(now, entry)
+        self.offer_next(now, entry)
     }
 
     fn revoked(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some(vm) = self.end(id, entry) else {
+        let Some(vm) = self.end_attempt(id, entry) else {
             return Vec::new();
         };
-        self.close_revoked(vm);
-        self.next(now, entry)
+        self.exclude_revoked(vm);
+        self.offer_next(now, entry)
     }
 
     fn answered(
@@ -296,12 +300,12 @@
         error: bool,
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
-        let Some(vm) = self.end(id, entry) else {
+        let Some(vm) = self.end_attempt(id, entry) else {
             return Vec::new();
         };
-        self.ran();
+        self.record_run();
         if !error {
-            self.note_winner(now, id);
+            self.record_winner(now, id);
         }
         if !error || !self.may_retry(entry) {
             return self.finish(Outcome::Answered(answer), entry);
@@ -311,11 +315,11 @@
     }
 
     fn broken(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some(vm) = self.end(id, entry) else {
+        let Some(vm) = self.end_attempt(id, entry) else {
             return Vec::new();
         };
-        self.ran();
-        self.maybe_ran = true;
+        self.record_run();
+        self.may_have_run = true;
         if !self.may_retry(entry) {
             return self.give_up(Reason::Lost, entry);
         }
@@ -323,7 +327,7 @@
     }
 
     fn not_sent(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some(vm) = self.end(id, entry) else {
+        let Some(vm) = self.end_attempt(id, entry) else {
             return Vec::new();
         };
         entry.mark_unresponsive(now, &vm);
@@ -331,56 +335,57 @@
             reason: Reason::Unreachable,
             retry_after_ms: DEFAULT_RETRY_AFTER_MS,
         });
-        self.close(vm);
-        self.next(now, entry)
+        self.exclude(vm);
+        self.offer_next(now, entry)
     }
 
-    /// The upstream ended under the request, so that it may be what ended it: it runs once more at most, where it
-    /// can be told from others, and no further upstream is risked for a request that was under suspicion before.
-    fn ended(
+    /// Handles an upstream that terminated while running the request, which may be the cause. The request runs
+    /// at most once more, where it can be distinguished from other suspects. A request that was a suspect
+    /// before is not run again, so that it can't crash another upstream.
+    fn upstream_terminated(
         &mut self,
         now: Moment,
         id: AttemptId,
         order: Vec<Name>,
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
-        let Some(vm) = self.end(id, entry) else {
+        let Some(vm) = self.end_attempt(id, entry) else {
             return Vec::new();
         };
-        self.ran();
-        self.maybe_ran = true;
+        self.record_run();
+        self.may_have_run = true;
         let was_suspect = self.suspect.is_some();
         if was_suspect || order.is_empty() || !self.may_retry(entry) {
             return self.give_up(Reason::Lost, entry);
         }
         self.suspect = Some(Suspect::new(order));
-        self.close(vm);
-        self.next(now, entry)
+        self.exclude(vm);
+        self.offer_next(now, entry)
     }
 
-    /// A request that may not be repeated is asked after; another goes to the next upstream.
-    fn lost(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some(to) = self.current(id) else {
-            return self.dropped();
+    /// Sends a query about a request that may not be repeated. Offers a repeatable request to the next upstream.
+    fn connection_lost(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
+        let Some(to) = self.vm_if_current(id) else {
+            return self.drop_late_event();
         };
         entry.mark_unresponsive(now, &to);
-        let asked = matches!(self.state, State::Asking { .. });
-        if self.treatment.repeatable || asked {
+        let is_querying = matches!(self.state, State::Querying { .. });
+        if self.treatment.repeatable || is_querying {
             return self.broken(now, id, entry);
         }
-        self.state = State::Asking { id, to: to.clone() };
+        self.state = State::Querying { id, to: to.clone() };
         vec![Action::Query { id, to }]
     }
 
-    fn told(
+    fn query_replied(
         &mut self,
         now: Moment,
         id: AttemptId,
         reply: QueryReply<A>,
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
-        let Some(vm) = self.current(id) else {
-            return self.dropped();
+        let Some(vm) = self.vm_if_current(id) else {
+            return self.drop_late_event();
         };
         entry.mark_responsive(&vm);
         match reply {
@@ -394,42 +399,47 @@
         }
     }
 
-    /// Leaves a silent node when the request may run twice; otherwise waits on.
-    fn silent(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some(vm) = self.current(id) else {
-            return self.dropped();
+    /// Abandons the attempt at an unresponsive node if the request may run again; otherwise keeps waiting.
+    fn node_unresponsive(
+        &mut self,
+        now: Moment,
+        id: AttemptId,
+        entry: &mut Entry,
+    ) -> Vec<Action<A>> {
+        let Some(vm) = self.vm_if_current(id) else {
+            return self.drop_late_event();
         };
         entry.mark_unresponsive(now, &vm);
         if !self.may_retry(entry) {
             return Vec::new();
         }
-        self.leave_attempt(id, entry);
+        self.abandon_attempt(id, entry);
         self.runs += 1;
         self.arrivals += 1;
-        self.maybe_ran = true;
+        self.may_have_run = true;
         let mut actions = vec![Action::Cancel { id, to: vm.clone() }];
         actions.extend(self.retry_elsewhere(now, vm, entry));
         actions
     }
 
     fn expired(&mut self, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some((id, to)) = self.active() else {
+        let Some((id, to)) = self.active_attempt() else {
             return self.give_up(Reason::Deadline, entry);
         };
-        self.leave_attempt(id, entry);
-        self.arrived();
-        self.maybe_ran = true;
+        self.abandon_attempt(id, entry);
+        self.record_arrival();
+        self.may_have_run = true;
         let mut actions = vec![Action::Cancel { id, to }];
         actions.extend(self.give_up(Reason::Deadline, entry));
         actions
     }
 
-    fn hung_up(&mut self, entry: &mut Entry) -> Vec<Action<A>> {
-        let active = self.active();
+    fn caller_disconnected(&mut self, entry: &mut Entry) -> Vec<Action<A>> {
+        let active = self.active_attempt();
         if let Some((id, _)) = &active {
-            self.leave_attempt(*id, entry);
-            // Its upstream may have seen the repeat.
-            self.repeat_paid = false;
+            self.abandon_attempt(*id, entry);
+            // The upstream may have received the repeat.
+            self.repeat_pending = false;
         }
         self.refund(entry);
         self.state = State::Done;
@@ -439,12 +449,12 @@
             .collect()
     }
 
-    /// The outcome when there is no further offer: never "not run" when any attempt may have run.
+    /// Ends the call without a further offer. The outcome is never "not run" if an attempt may have run.
     fn give_up(&mut self, reason: Reason, entry: &mut Entry) -> Vec<Action<A>> {
         if let Some(answer) = self.fallback.take() {
             return self.finish(Outcome::Answered(answer), entry);
         }
-        if self.maybe_ran {
+        if self.may_have_run {
             return self.finish(Outcome::Unknown(reason), entry);
         }
         let retry_after_ms = match reason {
@@ -464,10 +474,10 @@
         vec![Action::Finish(outcome)]
     }
 
-    /// Ends the current attempt when it is `id`; counts the event as late otherwise.
-    fn end(&mut self, id: AttemptId, entry: &mut Entry) -> Option<Name> {
-        let Some(vm) = self.current(id) else {
-            self.late += 1;
+    /// Ends the current attempt if it is `id`, and returns its VM. Otherwise counts a late event.
+    fn end_attempt(&mut self, id: AttemptId, entry: &mut Entry) -> Option<Name> {
+        let Some(vm) = self.vm_if_current(id) else {
+            self.late_events += 1;
             return None;
         };
         entry.attempt_ended(&vm);
@@ -475,20 +485,20 @@
         Some(vm)
     }
 
-    fn current(&self, id: AttemptId) -> Option<Name> {
-        let (mine, vm) = self.active()?;
-        (mine == id).then_some(vm)
+    fn vm_if_current(&self, id: AttemptId) -> Option<Name> {
+        let (current, vm) = self.active_attempt()?;
+        (current == id).then_some(vm)
     }
 
-    fn active(&self) -> Option<(AttemptId, Name)> {
+    fn active_attempt(&self) -> Option<(AttemptId, Name)> {
         match &self.state {
-            State::Waiting { id, to } | State::Asking { id, to } => Some((*id, to.clone())),
+            State::Waiting { id, to } | State::Querying { id, to } => Some((*id, to.clone())),
             State::Idle | State::Done => None,
         }
     }
 
-    fn dropped(&mut self) -> Vec<Action<A>> {
-        self.late += 1;
+    fn drop_late_event(&mut self) -> Vec<Action<A>> {
+        self.late_events += 1;
         Vec::new()
     }
 }
--- a/components/entry/src/call/hedge.rs
+++ b/components/entry/src/call/hedge.rs
@@ -1,10 +1,10 @@
-//! A second attempt of a call whose first takes much longer than usual.
+//! The hedged attempt of a call whose first attempt takes much longer than is typical.
 //!
-//! The load that this answers: 3% of the runs take seven times as long as usual, and a second run of the same request
-//! takes the usual time. While a service is short of slots no second attempt is made: it would take a slot from a
-//! request that has had none.
+//! Hedging is meant for a load where 3% of the runs take seven times their typical time, and a second run of the same
+//! request takes the typical time. No hedge is made while the service is short of slots, because it would take a slot
+//! from a request that has not had one yet.
 //!
-//! While both attempts are at work, the events of each come here. The failure of one leaves the other to go on alone as
+//! While both attempts are in flight, this module handles the events of both. When one fails, the other continues as
 //! the call's only attempt.
 
 use super::{Call, State};
@@ -16,62 +16,65 @@
 use home::{Load, Reason, Refusal, Suspicion};
 use names::{AttemptId, Moment, Name, SECOND};
 
-/// A service counts as short for so long after a refusal as busy where no objective is known, in microseconds.
-const SHORT_KEPT_US: u64 = SECOND;
+/// Time for which a service counts as short of slots after a refusal as busy, if the request has no objective, in
+/// microseconds.
+const DEFAULT_SHORTAGE_US: u64 = SECOND;
 
-/// The second attempt of a call.
+/// State of a call's hedged attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub(super) enum Second {
-    /// None was made.
+pub(super) enum HedgeState {
+    /// No hedge was made.
     #[default]
     None,
-    /// It is at work beside the first.
-    Beside {
+    /// Both attempts are in flight.
+    InFlight {
         first: AttemptId,
-        id: AttemptId,
+        hedged: AttemptId,
         to: Name,
     },
-    /// One of the two has ended; the other may go on as the call's only attempt.
-    Parted { first: AttemptId, id: AttemptId },
+    /// One of the two attempts has ended; the other may continue as the call's only attempt.
+    Resolved { first: AttemptId, hedged: AttemptId },
 }
 
-impl Second {
-    pub(super) fn is_beside(&self) -> bool {
-        matches!(self, Second::Beside { .. })
+impl HedgeState {
+    pub(super) fn is_in_flight(&self) -> bool {
+        matches!(self, HedgeState::InFlight { .. })
     }
 
-    /// Which attempt brought the answer, where there were two.
+    /// Which attempt the answer comes from, if a hedge was made, with the ids of the first and the hedged attempt.
     fn won(&self, by: AttemptId) -> Option<(HedgeDecision, AttemptId, AttemptId)> {
-        let (Second::Beside { first, id, .. } | Second::Parted { first, id }) = self else {
+        let (HedgeState::InFlight { first, hedged, .. } | HedgeState::Resolved { first, hedged }) =
+            self
+        else {
             return None;
         };
-        let decision = if by == *id {
+        let decision = if by == *hedged {
             HedgeDecision::WonByHedge
         } else if by == *first {
             HedgeDecision::WonByFirst
         } else {
             return None;
         };
-        Some((decision, *first, *id))
+        Some((decision, *first, *hedged))
     }
 }
 
 /// How one of two attempts failed.
 enum Failure {
-    /// It reached no upstream.
-    NotRun,
-    /// An upstream turned it away.
+    /// No upstream received it.
+    NotReceived,
+    /// An upstream rejected it.
     Shed,
     /// It ran.
     Ran,
 }
 
-/// How long a second run is expected to take, in microseconds.
+/// Expected duration of a second run, in microseconds.
 ///
-/// The home duty reports a run that has taken longer than usual, so the time since its offer is an upper bound. What an
-/// upstream reports is a mean over all its classes, which short requests lower, so it counts down to half of that time
-/// only. Zero means that the upstream has reported none.
-fn expected_us(since_offer_us: u64, load: Option<Load>) -> u64 {
+/// The home duty reports a run that has taken longer than is typical, so the time since the offer is an upper bound. The
+/// service time that an upstream reports is a mean over all its classes, which short requests lower, so half of the time
+/// since the offer is a lower bound. A reported service time of zero means that it is unknown.
+fn expected_run_us(since_offer_us: u64, load: Option<Load>) -> u64 {
     let reported_us = load.map(|load| load.service_us).filter(|us| *us > 0);
     reported_us.map_or(since_offer_us, |us| {
         us.clamp(since_offer_us / 2, since_offer_us)
@@ -79,35 +82,36 @@
 }
 
 impl<A: Clone> Call<A> {
-    /// Whether a straggling attempt of this call may get a second one as far as the call itself goes.
+    /// Whether the state of the call and its treatment allow a hedged attempt.
     pub fn may_hedge(&self) -> bool {
         self.treatment.repeatable
             && self.suspect.is_none()
             && !self.hedge_forbidden
-            && self.second == Second::None
+            && self.hedge_state == HedgeState::None
             && self.runs + 1 < self.treatment.max_runs
             && self.arrivals + 1 < self.treatment.max_arrivals
     }
 
-    /// Forbids a second attempt: an upstream ended under another copy of the request since the call began.
+    /// Forbids a hedged attempt, because an upstream has terminated while running another copy of the request since the
+    /// call began.
     pub fn forbid_hedge(&mut self) {
         self.hedge_forbidden = true;
     }
 
-    /// Takes out the decision about a second attempt that was made in the last step.
+    /// Takes the decision about a hedged attempt that was made in the last step.
     pub fn take_hedge(&mut self) -> Option<Hedge> {
-        self.hedge.take()
+        self.last_hedge.take()
     }
 
-    /// The first attempt takes much longer than usual.
+    /// Handles a report that the first attempt takes much longer than is typical.
     pub(super) fn straggles(
         &mut self,
         now: Moment,
         id: AttemptId,
         entry: &mut Entry,
     ) -> Vec<Action<A>> {
-        let Some(first) = self.current(id) else {
-            return self.dropped();
+        let Some(first) = self.vm_if_current(id) else {
+            return self.drop_late_event();
         };
         let mut hedge = Hedge {
             decision: HedgeDecision::Made,
@@ -121,20 +125,20 @@
             since_busy_us: entry.since_busy_us(now, &self.service),
         };
         let mut actions = Vec::new();
-        match self.second_upstream(now, &first, &mut hedge, entry) {
+        match self.choose_hedge_upstream(now, &first, &mut hedge, entry) {
             Ok(to) => {
-                let second = entry.next_attempt();
-                hedge.hedged = Some(second);
-                actions.push(self.start_second(id, second, to, entry));
+                let hedged = entry.next_attempt();
+                hedge.hedged = Some(hedged);
+                actions.push(self.start_hedge(id, hedged, to, entry));
             }
             Err(refusal) => hedge.decision = HedgeDecision::Refused(refusal),
         }
-        self.hedge = Some(hedge);
+        self.last_hedge = Some(hedge);
         actions
     }
 
-    /// Where a second attempt goes; its cost is taken out of the budget.
-    fn second_upstream(
+    /// Selects the upstream for a hedged attempt, and spends its repeat from the retry budget.
+    fn choose_hedge_upstream(
         &self,
         now: Moment,
         first: &Name,
@@ -144,14 +148,14 @@
         if !self.may_hedge() {
             return Err(HedgeRefusal::NotAllowed);
         }
-        let short_us = self.price.objective_us.unwrap_or(SHORT_KEPT_US);
-        if hedge.since_busy_us.is_some_and(|us| us <= short_us) {
+        let shortage_us = self.price.objective_us.unwrap_or(DEFAULT_SHORTAGE_US);
+        if hedge.since_busy_us.is_some_and(|us| us <= shortage_us) {
             return Err(HedgeRefusal::ShortOfSlots);
         }
-        let to = self.pick_second(now, first, entry);
+        let to = self.pick_hedge_upstream(now, first, entry);
         let to = to.ok_or(HedgeRefusal::NoUpstream)?;
         let view = entry.view(&to);
-        let expected_us = expected_us(hedge.since_offer_us, view.load);
+        let expected_us = expected_run_us(hedge.since_offer_us, view.load);
         hedge.to = Some(to.clone());
         hedge.expected_us = Some(expected_us);
         hedge.load_age_us = view.load.map(|_| now.since(view.reported_at));
@@ -164,33 +168,33 @@
         Ok(to)
     }
 
-    /// One of the own hall's other upstreams that may have a free slot.
-    fn pick_second(&self, now: Moment, first: &Name, entry: &mut Entry) -> Option<Name> {
-        let open = self.open(false, now, entry);
+    /// Picks another upstream of the same hall that may have a free slot.
+    fn pick_hedge_upstream(&self, now: Moment, first: &Name, entry: &mut Entry) -> Option<Name> {
+        let eligible = self.eligible(false, now, entry);
         let fits = |candidate: &&Candidate| {
             let vm = &candidate.vm;
             candidate.same_hall && vm != first && !entry.is_unresponsive(now, vm)
         };
-        let open: Vec<&Candidate> = open.into_iter().filter(fits).collect();
-        entry.choose(now, &open, self.price, false)
+        let eligible: Vec<&Candidate> = eligible.into_iter().filter(fits).collect();
+        entry.choose(now, &eligible, self.price, false)
     }
 
-    fn start_second(
+    fn start_hedge(
         &mut self,
         first: AttemptId,
-        id: AttemptId,
+        hedged: AttemptId,
         to: Name,
         entry: &mut Entry,
     ) -> Action<A> {
         entry.attempt_offered(&to);
         self.offers += 1;
-        self.second = Second::Beside {
+        self.hedge_state = HedgeState::InFlight {
             first,
-            id,
+            hedged,
             to: to.clone(),
         };
         Action::Offer {
-            id,
+            id: hedged,
             to,
             may_queue: false,
             repeat: true,
@@ -198,8 +202,8 @@
         }
     }
 
-    /// Takes in an event while two attempts are at work.
-    pub(super) fn step_both(
+    /// Handles an event while both attempts are in flight.
+    pub(super) fn step_hedged(
         &mut self,
         now: Moment,
         event: Event<A>,
@@ -208,19 +212,19 @@
         match event {
             Event::Begin | Event::Straggles(_) => Vec::new(),
             Event::Expired => {
-                let mut actions = self.cancel_second(entry);
+                let mut actions = self.cancel_hedge(entry);
                 actions.extend(self.expired(entry));
                 actions
             }
             Event::CallerDisconnected => {
-                let mut actions = self.cancel_second(entry);
-                actions.extend(self.hung_up(entry));
+                let mut actions = self.cancel_hedge(entry);
+                actions.extend(self.caller_disconnected(entry));
                 actions
             }
             Event::Answered { id, answer, error } if error => {
-                if let Some(vm) = self.failed(id, Failure::Ran, entry) {
+                if let Some(vm) = self.attempt_failed(id, Failure::Ran, entry) {
                     self.fallback = Some(answer);
-                    self.leave(now, vm, entry);
+                    self.exclude_failed(now, vm, entry);
                 }
                 Vec::new()
             }
@@ -230,139 +234,145 @@
                 actions
             }
             Event::Refused(id, refusal) => {
-                self.one_refused(now, id, refusal, entry);
+                self.attempt_refused(now, id, refusal, entry);
                 Vec::new()
             }
             Event::Revoked(id) => {
-                if let Some(vm) = self.failed(id, Failure::NotRun, entry) {
-                    self.close_revoked(vm);
+                if let Some(vm) = self.attempt_failed(id, Failure::NotReceived, entry) {
+                    self.exclude_revoked(vm);
                 }
                 Vec::new()
             }
             Event::NotSent(id) => {
-                if let Some(vm) = self.failed(id, Failure::NotRun, entry) {
+                if let Some(vm) = self.attempt_failed(id, Failure::NotReceived, entry) {
                     entry.mark_unresponsive(now, &vm);
-                    self.close(vm);
+                    self.exclude(vm);
                 }
                 Vec::new()
             }
             Event::Broken(id) | Event::NodeGone(id) => {
-                self.one_broken(now, id, entry);
+                self.attempt_broken(now, id, entry);
                 Vec::new()
             }
             Event::ConnectionLost(id) => {
-                if let Some(vm) = self.one_broken(now, id, entry) {
+                if let Some(vm) = self.attempt_broken(now, id, entry) {
                     entry.mark_unresponsive(now, &vm);
                 }
                 Vec::new()
             }
             Event::NodeUnresponsive(id) => {
-                let Some(vm) = self.one_broken(now, id, entry) else {
+                let Some(vm) = self.attempt_broken(now, id, entry) else {
                     return Vec::new();
                 };
                 entry.mark_unresponsive(now, &vm);
                 vec![Action::Cancel { id, to: vm }]
             }
             Event::UpstreamTerminated { id, order } => {
-                // The other attempt is the one more run that such a request may have.
-                if let Some(vm) = self.failed(id, Failure::Ran, entry) {
-                    self.maybe_ran = true;
+                // A suspect may run once more; the other attempt is that run.
+                if let Some(vm) = self.attempt_failed(id, Failure::Ran, entry) {
+                    self.may_have_run = true;
                     self.suspect = Some(Suspect::new(order));
-                    self.close(vm);
+                    self.exclude(vm);
                 }
                 Vec::new()
             }
-            // Only requests that may not be repeated are asked after.
-            Event::QueryReplied(..) => self.dropped(),
+            // Queries are sent only for requests that may not be repeated, which are never hedged.
+            Event::QueryReplied(..) => self.drop_late_event(),
         }
     }
 
-    fn one_refused(&mut self, now: Moment, id: AttemptId, refusal: Refusal, entry: &mut Entry) {
+    fn attempt_refused(&mut self, now: Moment, id: AttemptId, refusal: Refusal, entry: &mut Entry) {
         let failure = match refusal.reason {
             Reason::Shed => Failure::Shed,
-            _ => Failure::NotRun,
+            _ => Failure::NotReceived,
         };
-        // A second attempt only asks for a free slot at once.
-        let might_queue = self.might_queue() && self.current(id).is_some();
-        let Some(vm) = self.failed(id, failure, entry) else {
+        // A hedged attempt may not queue.
+        let could_queue = self.could_queue() && self.vm_if_current(id).is_some();
+        let Some(vm) = self.attempt_failed(id, failure, entry) else {
             entry.on_late_refusal(now, id, &refusal);
             return;
         };
-        self.contacted |= refusal.reason != Reason::Uncertain;
+        self.has_certain_refusal |= refusal.reason != Reason::Uncertain;
         match refusal.reason {
             Reason::Busy => {
-                if might_queue {
+                if could_queue {
                     entry.on_busy_refusal(now, &self.service);
                 }
                 self.refused_by.push(vm);
             }
             Reason::Leaving => {
                 entry.set_draining(now, &vm, true);
-                self.close(vm);
+                self.exclude(vm);
             }
-            _ => self.close(vm),
+            _ => self.exclude(vm),
         }
     }
 
-    fn one_broken(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Option<Name> {
-        let vm = self.failed(id, Failure::Ran, entry)?;
-        self.maybe_ran = true;
-        self.leave(now, vm.clone(), entry);
+    fn attempt_broken(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Option<Name> {
+        let vm = self.attempt_failed(id, Failure::Ran, entry)?;
+        self.may_have_run = true;
+        self.exclude_failed(now, vm.clone(), entry);
         Some(vm)
     }
 
-    /// One of two attempts failed: the other goes on as the call's only one. Returns where it failed.
-    fn failed(&mut self, id: AttemptId, failure: Failure, entry: &mut Entry) -> Option<Name> {
-        let (first, second, second_to) = self.both()?;
-        let vm = if id == second {
+    /// Handles the failure of one of two attempts: the other continues as the call's only one. Returns the VM of the
+    /// failed one.
+    fn attempt_failed(
+        &mut self,
+        id: AttemptId,
+        failure: Failure,
+        entry: &mut Entry,
+    ) -> Option<Name> {
+        let (first, hedged, hedged_to) = self.both_attempts()?;
+        let vm = if id == hedged {
             match failure {
-                Failure::NotRun => entry.refund_retry(&self.service),
+                Failure::NotReceived => entry.refund_retry(&self.service),
                 Failure::Shed | Failure::Ran => self.arrivals += 1,
             }
-            second_to
+            hedged_to
         } else {
-            let Some(vm) = self.current(id) else {
-                self.late += 1;
+            let Some(vm) = self.vm_if_current(id) else {
+                self.late_events += 1;
                 return None;
             };
             match failure {
-                Failure::NotRun => self.refund(entry),
-                Failure::Shed | Failure::Ran => self.arrived(),
+                Failure::NotReceived => self.refund(entry),
+                Failure::Shed | Failure::Ran => self.record_arrival(),
             }
-            self.asked_to_queue = false;
-            // The second attempt has been paid for, and it is not known yet whether it reaches an upstream.
-            self.repeat_paid = true;
+            self.offer_may_queue = false;
+            // The repeat of the hedged attempt is spent, and whether it reaches an upstream is not known yet.
+            self.repeat_pending = true;
             self.state = State::Waiting {
-                id: second,
-                to: second_to,
+                id: hedged,
+                to: hedged_to,
             };
             vm
         };
         self.runs += u32::from(matches!(failure, Failure::Ran));
-        self.second = Second::Parted { first, id: second };
+        self.hedge_state = HedgeState::Resolved { first, hedged };
         entry.attempt_ended(&vm);
         Some(vm)
     }
 
-    /// Cancels the attempt other than `winner`. It stays paid for: it may have reached an upstream.
+    /// Cancels the attempt other than `winner`, without a refund: it may have reached an upstream.
     fn cancel_other(&mut self, winner: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some((first, second, second_to)) = self.both() else {
+        let Some((first, hedged, hedged_to)) = self.both_attempts() else {
             return Vec::new();
         };
-        if winner != second {
-            return match self.current(winner) {
-                Some(_) => self.cancel_second(entry),
+        if winner != hedged {
+            return match self.vm_if_current(winner) {
+                Some(_) => self.cancel_hedge(entry),
                 None => Vec::new(),
             };
         }
-        let Some(first_to) = self.current(first) else {
+        let Some(first_to) = self.vm_if_current(first) else {
             return Vec::new();
         };
         entry.attempt_ended(&first_to);
-        self.second = Second::Parted { first, id: second };
+        self.hedge_state = HedgeState::Resolved { first, hedged };
         self.state = State::Waiting {
-            id: second,
-            to: second_to,
+            id: hedged,
+            to: hedged_to,
         };
         vec![Action::Cancel {
             id: first,
@@ -370,31 +380,31 @@
         }]
     }
 
-    fn cancel_second(&mut self, entry: &mut Entry) -> Vec<Action<A>> {
-        let Some((first, id, to)) = self.both() else {
+    fn cancel_hedge(&mut self, entry: &mut Entry) -> Vec<Action<A>> {
+        let Some((first, hedged, to)) = self.both_attempts() else {
             return Vec::new();
         };
         entry.attempt_ended(&to);
-        self.second = Second::Parted { first, id };
-        vec![Action::Cancel { id, to }]
+        self.hedge_state = HedgeState::Resolved { first, hedged };
+        vec![Action::Cancel { id: hedged, to }]
     }
 
-    fn both(&self) -> Option<(AttemptId, AttemptId, Name)> {
-        match &self.second {
-            Second::Beside { first, id, to } => Some((*first, *id, to.clone())),
-            Second::None | Second::Parted { .. } => None,
+    fn both_attempts(&self) -> Option<(AttemptId, AttemptId, Name)> {
+        match &self.hedge_state {
+            HedgeState::InFlight { first, hedged, to } => Some((*first, *hedged, to.clone())),
+            HedgeState::None | HedgeState::Resolved { .. } => None,
         }
     }
 
-    /// Takes in that the answer of an attempt is the call's outcome.
-    pub(super) fn note_winner(&mut self, now: Moment, by: AttemptId) {
-        let Some((decision, first, second)) = self.second.won(by) else {
+    /// Records that the answer of attempt `by` is the call's outcome.
+    pub(super) fn record_winner(&mut self, now: Moment, by: AttemptId) {
+        let Some((decision, first, hedged)) = self.hedge_state.won(by) else {
             return;
         };
-        self.hedge = Some(Hedge {
+        self.last_hedge = Some(Hedge {
             decision,
             first,
-            hedged: Some(second),
+            hedged: Some(hedged),
             to: None,
             since_offer_us: now.since(self.offered_at),
             remaining_us: self.deadline.since(now),
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -1,72 +1,72 @@
-//! What happens to a call, what the daemon has to do for it, and how it ends.
+//! Events, actions and outcomes of a call.
 
 use home::{QueryReply, Reason, Refusal, Suspicion};
 use names::{AttemptId, Name};
 
-/// What the policy says of one request.
+/// How one request may be run, as set by the policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Treatment {
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Priority; a higher number is served first.
     pub priority: u8,
-    /// Runs of a repeatable request at most, counting the first.
+    /// Maximum number of runs of a repeatable request, including the first.
     pub max_runs: u32,
-    /// Upstreams that may see the request at most, counting those that turned it away unrun.
+    /// Maximum number of upstreams that may receive the request, including those that reject it unrun.
     pub max_arrivals: u32,
-    /// Who sent the request.
+    /// The sender of the request.
     pub origin: Origin,
 }
 
-/// Who sends a request.
+/// The sender of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// A client.
     Client,
-    /// An upstream, for a request that it runs.
+    /// An upstream, for a request that it is running.
     Upstream,
-    /// An upstream, for a request that another one has seen before: the call is a repeat too.
+    /// An upstream, for a request that another upstream received before, so that the call is a repeat too.
     UpstreamRepeat,
 }
 
-/// Something that happened to a call.
+/// Input of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event<A> {
     /// The call starts.
     Begin,
     /// The home duty refused the attempt.
     Refused(AttemptId, Refusal),
-    /// The home duty handed the queued attempt back.
+    /// The home duty revoked the attempt before it ran.
     Revoked(AttemptId),
-    /// A whole answer; `error` when it reports an error of the upstream.
+    /// A complete answer has arrived.
     Answered {
         /// The attempt that ran.
         id: AttemptId,
-        /// The whole answer.
+        /// The complete answer.
         answer: A,
-        /// Whether the upstream reports an error of its own.
+        /// Whether the answer reports an error of the upstream.
         error: bool,
     },
-    /// The upstream broke off: the attempt ran, and there is no whole answer.
+    /// The upstream aborted the exchange: the attempt ran, and there is no complete answer.
     Broken(AttemptId),
-    /// The upstream ended while it ran the attempt.
+    /// The upstream terminated while running the attempt.
     UpstreamTerminated {
         /// The attempt that ran.
         id: AttemptId,
-        /// The VMs at which the request may run now, the best first; none when it is held.
+        /// The VMs at which the request may run now, in order of preference. Empty if it is quarantined.
         order: Vec<Name>,
     },
     /// No byte of the offer left this node.
     NotSent(AttemptId),
     /// The connection to the home node broke after the offer was sent.
     ConnectionLost(AttemptId),
-    /// The home duty's answer to a question.
+    /// The home duty replied to a query about the attempt.
     QueryReplied(AttemptId, QueryReply<A>),
-    /// The home duty that had the attempt is gone or can't be reached.
+    /// The node run with the attempt no longer exists or can't be reached.
     NodeGone(AttemptId),
-    /// The home node does not answer heartbeats.
+    /// The home node does not reply to heartbeats.
     NodeUnresponsive(AttemptId),
-    /// The attempt's run takes much longer than usual.
+    /// The attempt's run takes much longer than is typical.
     Straggles(AttemptId),
     /// The caller's deadline passed.
     Expired,
@@ -75,7 +75,7 @@
 }
 
 impl<A> Event<A> {
-    /// Whether the event is a report on an attempt that goes on, and no outcome of it.
+    /// Whether the event is a progress report of an attempt that continues, rather than its result.
     pub fn is_report(&self) -> bool {
         matches!(self, Event::Straggles(_))
     }
@@ -101,10 +101,10 @@
     }
 }
 
-/// Something the daemon has to do.
+/// Something for the daemon to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action<A> {
-    /// Offer the request to the home duty beside `to`.
+    /// Offer the request to the home duty at `to`.
     Offer {
         /// The new attempt.
         id: AttemptId,
@@ -112,36 +112,36 @@
         to: Name,
         /// Whether it may be queued there.
         may_queue: bool,
-        /// Whether an upstream has seen the request before.
+        /// Whether an upstream has received the request before.
         repeat: bool,
-        /// Whether an upstream ended while it ran the request.
+        /// Whether the request is a suspect, and how it may run then.
         suspicion: Suspicion,
     },
-    /// Ask the home duty beside `to` about the attempt.
+    /// Query the home duty at `to` about the attempt.
     Query {
         /// The attempt.
         id: AttemptId,
         /// The VM.
         to: Name,
     },
-    /// Tell the home duty beside `to` that nobody waits for the attempt.
+    /// Notify the home duty at `to` that the attempt's answer is no longer needed.
     Cancel {
         /// The attempt.
         id: AttemptId,
         /// The VM.
         to: Name,
     },
-    /// Give the caller its outcome.
+    /// Send the outcome to the caller.
     Finish(Outcome<A>),
 }
 
-/// What the caller is told.
+/// The outcome of a call, as sent to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome<A> {
-    /// The whole answer.
+    /// The complete answer.
     Answered(A),
-    /// Not run anywhere, and never will be.
+    /// The request has not run anywhere and never will.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Reason),
 }
