--- a/components/entry/tests/attempts/fuzz.rs
+++ b/components/entry/tests/attempts/fuzz.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of entry and home duties against the oracle in `world`.
+//! Stateful fuzzing of entry and home duties, checked against the oracle in `world`.
 //!
-//! The seed is fixed. For long runs with other seeds see `docs/PROOFS.md`: `FUZZ_SEED` and
-//! `FUZZ_CASES` replace the seed and the number of cases.
+//! The seed is fixed. `FUZZ_SEED` and `FUZZ_CASES` replace the seed and the number of cases; for long
+//! runs with other seeds see `docs/PROOFS.md`.
 
 use crate::world::World;
 use home::{ProbeResult, Verdict};
@@ -10,24 +10,24 @@
 
 const CASES: u32 = 1_500;
 
-/// One step of the world; numbers pick by remainder.
+/// One step of the world. Indexes are taken modulo the number of items.
 #[derive(Debug, Clone)]
 enum Step {
     Call {
         entry: usize,
-        once: bool,
+        non_repeatable: bool,
     },
     Deliver(usize),
     Duplicate(usize),
-    Cut {
+    CutLink {
         entry: usize,
         home: usize,
     },
-    Silent {
+    Unresponsive {
         entry: usize,
         home: usize,
     },
-    Finish {
+    FinishRun {
         home: usize,
         pick: usize,
         verdict: Verdict,
@@ -35,29 +35,29 @@
     Advance(u64),
     ProbeResult {
         home: usize,
-        probed: ProbeResult,
+        result: ProbeResult,
     },
-    Kill(usize),
+    Restart(usize),
     Pause {
         home: usize,
         paused: bool,
     },
-    Leave(usize),
-    Stay(usize),
-    HangUp {
+    StartDrain(usize),
+    EndDrain(usize),
+    Disconnect {
         entry: usize,
         pick: usize,
     },
 }
 
-/// Size of a world; the steps need no other reference state.
+/// Configuration of a world. The steps need no other reference state.
 #[derive(Debug, Clone)]
 struct Size {
     entries: usize,
     homes: usize,
-    looks: bool,
-    /// Repeats earned by each request.
-    earned: Option<f64>,
+    can_probe: bool,
+    /// Share of a repeat that each request deposits in the retry budget.
+    deposit: Option<f64>,
 }
 
 struct Reference;
@@ -67,13 +67,13 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Size> {
-        let earned = prop_oneof![Just(None), Just(Some(0.5)), Just(Some(1.0))];
-        (1..=3usize, 2..=3usize, any::<bool>(), earned)
-            .prop_map(|(entries, homes, looks, earned)| Size {
+        let deposit = prop_oneof![Just(None), Just(Some(0.5)), Just(Some(1.0))];
+        (1..=3usize, 2..=3usize, any::<bool>(), deposit)
+            .prop_map(|(entries, homes, can_probe, deposit)| Size {
                 entries,
                 homes,
-                looks,
-                earned,
+                can_probe,
+                deposit,
             })
             .boxed()
     }
@@ -87,21 +87,21 @@
             1 => Just(Verdict::NotSent),
         ];
         prop_oneof![
-            6 => (0..3usize, any::<bool>()).prop_map(|(entry, once)| Step::Call { entry, once }),
+            6 => (0..3usize, any::<bool>()).prop_map(|(entry, non_repeatable)| Step::Call { entry, non_repeatable }),
             14 => (0..64usize).prop_map(Step::Deliver),
             2 => (0..64usize).prop_map(Step::Duplicate),
-            2 => (0..3usize, 0..3usize).prop_map(|(entry, home)| Step::Cut { entry, home }),
-            1 => (0..3usize, 0..3usize).prop_map(|(entry, home)| Step::Silent { entry, home }),
+            2 => (0..3usize, 0..3usize).prop_map(|(entry, home)| Step::CutLink { entry, home }),
+            1 => (0..3usize, 0..3usize).prop_map(|(entry, home)| Step::Unresponsive { entry, home }),
             6 => (0..3usize, 0..4usize, verdict)
-                .prop_map(|(home, pick, verdict)| Step::Finish { home, pick, verdict }),
+                .prop_map(|(home, pick, verdict)| Step::FinishRun { home, pick, verdict }),
             3 => (1..1500u64).prop_map(Step::Advance),
-            4 => (0..3usize, pace()).prop_map(|(home, probed)| Step::ProbeResult { home, probed }),
-            1 => (0..3usize).prop_map(Step::Kill),
+            4 => (0..3usize, probe_result()).prop_map(|(home, result)| Step::ProbeResult { home, result }),
+            1 => (0..3usize).prop_map(Step::Restart),
             2 => (0..3usize, any::<bool>())
                 .prop_map(|(home, paused)| Step::Pause { home, paused }),
-            1 => (0..6usize).prop_map(Step::Leave),
-            2 => (0..6usize).prop_map(Step::Stay),
-            1 => (0..3usize, 0..8usize).prop_map(|(entry, pick)| Step::HangUp { entry, pick }),
+            1 => (0..6usize).prop_map(Step::StartDrain),
+            2 => (0..6usize).prop_map(Step::EndDrain),
+            1 => (0..3usize, 0..8usize).prop_map(|(entry, pick)| Step::Disconnect { entry, pick }),
         ]
         .boxed()
     }
@@ -111,8 +111,8 @@
     }
 }
 
-/// What an upstream may say of its pace.
-fn pace() -> impl Strategy<Value = ProbeResult> {
+/// Results of a probe for the upstream's slowdown.
+fn probe_result() -> impl Strategy<Value = ProbeResult> {
     prop_oneof![
         4 => Just(ProbeResult::percent(100)),
         2 => Just(ProbeResult::percent(500)),
@@ -129,40 +129,43 @@
     type Reference = Reference;
 
     fn init_test(size: &Size) -> World {
-        World::with_looks(size.entries, size.homes, size.looks, size.earned)
+        World::with_options(size.entries, size.homes, size.can_probe, size.deposit)
     }
 
     fn apply(mut world: World, _: &Size, step: Step) -> World {
         match step {
-            Step::Call { entry, once } => world.call(entry, once),
+            Step::Call {
+                entry,
+                non_repeatable,
+            } => world.call(entry, non_repeatable),
             Step::Deliver(pick) => world.deliver(pick),
             Step::Duplicate(pick) => world.duplicate(pick),
-            Step::Cut { entry, home } => world.cut(entry, home),
-            Step::Silent { entry, home } => world.silent(entry, home),
-            Step::Finish {
+            Step::CutLink { entry, home } => world.cut_link(entry, home),
+            Step::Unresponsive { entry, home } => world.node_unresponsive(entry, home),
+            Step::FinishRun {
                 home,
                 pick,
                 verdict,
-            } => world.finish(home, pick, verdict),
+            } => world.finish_run(home, pick, verdict),
             Step::Advance(ms) => world.advance(ms),
-            Step::ProbeResult { home, probed } => world.probed(home, probed),
-            Step::Kill(home) => world.kill(home),
-            Step::Pause { home, paused } => world.pause(home, paused),
-            Step::Leave(home) => world.leave(home),
-            Step::Stay(home) => world.stay(home),
-            Step::HangUp { entry, pick } => world.hang_up(entry, pick),
+            Step::ProbeResult { home, result } => world.probe_finished(home, result),
+            Step::Restart(home) => world.restart_home(home),
+            Step::Pause { home, paused } => world.set_paused(home, paused),
+            Step::StartDrain(home) => world.start_drain(home),
+            Step::EndDrain(home) => world.end_drain(home),
+            Step::Disconnect { entry, pick } => world.disconnect_caller(entry, pick),
         }
         world
     }
 
     fn check_invariants(world: &World, _: &Size) {
-        world.check();
+        world.check_invariants();
     }
 
     fn teardown(mut world: World, _: Size) {
         world.settle();
-        world.check();
-        world.check_settled();
+        world.check_invariants();
+        world.check_all_have_outcome();
     }
 }
 
@@ -170,5 +173,5 @@
     #![proptest_config(fuzzing::config(CASES))]
 
     #[test]
-    fn a_caller_hears_the_truth_whatever_happens_to_messages_and_nodes(sequential 1..150 => Attempts);
+    fn outcomes_are_true_under_message_and_node_faults(sequential 1..150 => Attempts);
 }
--- a/components/entry/tests/attempts/hedges.rs
+++ b/components/entry/tests/attempts/hedges.rs
@@ -1,4 +1,4 @@
-//! Random walks on which many second attempts are made, with lost frames, dead homes and callers that hang up.
+//! Random walks with many hedged attempts, lost messages, restarted home nodes and callers that disconnect.
 
 use crate::world::World;
 use entry::Outcome;
@@ -8,10 +8,10 @@
 
 const WALKS: u64 = 800;
 const STEPS: usize = 120;
-/// Second attempts of all walks at least, and those among them that bring the answer.
-const LEAST_HEDGES: (u32, u32) = (1_000, 100);
+/// Minimum number of hedged attempts in all walks, and of those that produce the answer.
+const MIN_HEDGES: (u32, u32) = (1_000, 100);
 
-/// One step of a walk: mostly calls that straggle, with an upstream that ends some of them.
+/// One step of a walk. Most calls straggle, and upstreams terminate while running some of them.
 fn step(world: &mut World, rng: &mut SmallRng) {
     let pick = rng.random_range(0..64);
     match rng.random_range(0..100) {
@@ -28,76 +28,77 @@
                 4 => Verdict::Ended,
                 _ => Verdict::Good,
             };
-            world.finish(pick, rng.random_range(0..4), verdict);
+            world.finish_run(pick, rng.random_range(0..4), verdict);
         }
-        88..91 => world.cut(pick, rng.random_range(0..3)),
-        91..93 => world.silent(pick, rng.random_range(0..3)),
-        93..95 => world.hang_up(pick, rng.random_range(0..8)),
-        95 => world.kill(pick),
-        96 => world.pause(pick, true),
-        97 => world.pause(pick, false),
-        98 => world.leave(pick),
-        _ => world.stay(pick),
+        88..91 => world.cut_link(pick, rng.random_range(0..3)),
+        91..93 => world.node_unresponsive(pick, rng.random_range(0..3)),
+        93..95 => world.disconnect_caller(pick, rng.random_range(0..8)),
+        95 => world.restart_home(pick),
+        96 => world.set_paused(pick, true),
+        97 => world.set_paused(pick, false),
+        98 => world.start_drain(pick),
+        _ => world.end_drain(pick),
     }
 }
 
-/// Guards against a second start of what may run once, an untrue "not run", a second offer to an upstream that the request ended, an answer of another request, repeats beyond
-/// the budget and callers that are told nothing, where second attempts are frequent.
+/// Guards, with many hedged attempts, against a second run of a request that may not be repeated, a false "not run", a
+/// second offer to an upstream that terminated while running the request, the answer of another request, repeats beyond
+/// the budget and callers without an outcome.
 #[test]
-fn with_many_second_attempts_callers_hear_the_truth_and_the_budget_holds() {
-    let (mut hedges, mut won_by_second) = (0, 0);
+fn outcomes_are_true_and_budget_holds_with_many_hedges() {
+    let (mut hedges, mut won_by_hedge) = (0, 0);
     for seed in 0..WALKS {
         let mut rng = SmallRng::seed_from_u64(seed);
         let entries = rng.random_range(1..=3);
-        let mut world = World::with_looks(entries, 3, seed % 4 == 0, Some(1.0));
+        let mut world = World::with_options(entries, 3, seed % 4 == 0, Some(1.0));
         for _ in 0..STEPS {
             step(&mut world, &mut rng);
-            world.check();
+            world.check_invariants();
         }
         world.settle();
-        world.check();
-        world.check_settled();
+        world.check_invariants();
+        world.check_all_have_outcome();
         hedges += world.oracle.hedges;
-        won_by_second += world.oracle.won_by_second;
+        won_by_hedge += world.oracle.won_by_hedge;
     }
     assert!(
-        hedges >= LEAST_HEDGES.0 && won_by_second >= LEAST_HEDGES.1,
-        "{hedges} second attempts, {won_by_second} of which brought the answer"
+        hedges >= MIN_HEDGES.0 && won_by_hedge >= MIN_HEDGES.1,
+        "{hedges} hedged attempts, {won_by_hedge} of which produced the answer"
     );
 }
 
-/// A world in which a call straggles and its second attempt is on its way.
+/// A world in which a call straggles and the offer of its hedged attempt is in transit.
 fn hedged() -> World {
-    let mut world = World::with_looks(1, 3, false, Some(1.0));
+    let mut world = World::with_options(1, 3, false, Some(1.0));
     world.call(0, false);
     world.deliver(0);
     world.advance(60);
-    // The report arrives.
+    // The straggler report arrives.
     world.deliver(0);
     assert_eq!(world.oracle.hedges, 1);
     world
 }
 
 #[test]
-fn the_answer_of_a_second_attempt_is_told_and_the_first_run_changes_nothing_any_more() {
+fn answer_of_hedge_is_the_outcome_and_first_run_is_ignored() {
     let mut world = hedged();
     world.deliver(0);
     assert_eq!(world.oracle.runs[&1], 2);
     world.settle();
-    world.check();
-    world.check_settled();
-    assert_eq!(world.oracle.told[&1], Outcome::Answered(1));
+    world.check_invariants();
+    world.check_all_have_outcome();
+    assert_eq!(world.oracle.outcomes[&1], Outcome::Answered(1));
 }
 
 #[test]
-fn when_the_home_nodes_of_one_attempt_die_the_other_brings_the_answer() {
+fn other_attempt_answers_when_a_home_node_restarts() {
     for home in 0..3 {
         let mut world = hedged();
         world.deliver(0);
-        world.kill(home);
+        world.restart_home(home);
         world.settle();
-        world.check();
-        world.check_settled();
-        assert_eq!(world.oracle.told[&1], Outcome::Answered(1));
+        world.check_invariants();
+        world.check_all_have_outcome();
+        assert_eq!(world.oracle.outcomes[&1], Outcome::Answered(1));
     }
 }
--- a/components/entry/tests/attempts/main.rs
+++ b/components/entry/tests/attempts/main.rs
@@ -1,4 +1,4 @@
-//! Entry and home duties under lost, late, doubled and reordered messages.
+//! Entry and home duties with lost, late, duplicated and reordered messages.
 
 mod fuzz;
 mod hedges;
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -1,4 +1,4 @@
-//! What the nodes of the world do with each message and each action.
+//! Handling of messages and actions by the nodes of the world.
 
 use super::{index, vm, Body, CallId, Message, World, DEADLINE_US, LEVELS};
 use entry::{Action, Event, HedgeDecision};
@@ -6,7 +6,7 @@
 use names::AttemptId;
 
 impl World {
-    pub(super) fn arrive(&mut self, message: Message) {
+    pub(super) fn receive(&mut self, message: Message) {
         let Message {
             entry,
             home,
@@ -14,9 +14,9 @@
             body,
         } = message;
         match body {
-            Body::Offer(_) | Body::Ask(..) | Body::Cancel(_) if self.homes[home].paused => {
-                // A frozen process reads later.
-                self.pool.push(Message {
+            Body::Offer(_) | Body::Query(..) | Body::Cancel(_) if self.homes[home].paused => {
+                // A paused process reads the message later.
+                self.in_transit.push(Message {
                     entry,
                     home,
                     link,
@@ -25,33 +25,33 @@
             }
             Body::Offer(offer) => {
                 let node = &mut self.homes[home];
-                node.routes.entry(offer.id).or_insert((entry, link));
+                node.reply_links.entry(offer.id).or_insert((entry, link));
                 let actions = node.duty.offer(self.now, &offer);
-                self.perform(home, actions);
+                self.perform_home_actions(home, actions);
             }
-            Body::Ask(id, boot) => {
+            Body::Query(id, boot) => {
                 let node = &mut self.homes[home];
                 let reply = node.duty.query(self.now, id, boot);
-                node.routes.insert(id, (entry, link));
+                node.reply_links.insert(id, (entry, link));
                 if reply == QueryReply::Revoked && self.oracle.shed.contains(&id) {
-                    self.oracle.shed_untold += 1;
+                    self.oracle.shed_reported_as_revoked += 1;
                 }
-                self.reply(home, Body::Told(id, reply));
+                self.reply(home, Body::QueryReply(id, reply));
             }
             Body::Cancel(id) => {
-                if !self.homes[home].duty.cancel(self.now, id) && self.was_offered(home, id) {
+                if !self.homes[home].duty.cancel(self.now, id) && self.knows_attempt(home, id) {
                     self.cancelled.insert((home, self.homes[home].boot, id));
                 }
             }
-            reply => self.reply_arrives(entry, home, link, reply),
+            reply => self.receive_reply(entry, home, link, reply),
         }
     }
 
-    fn was_offered(&self, home: usize, id: AttemptId) -> bool {
-        self.homes[home].routes.contains_key(&id)
+    fn knows_attempt(&self, home: usize, id: AttemptId) -> bool {
+        self.homes[home].reply_links.contains_key(&id)
     }
 
-    fn reply_arrives(&mut self, entry: usize, home: usize, link: u64, reply: Body) {
+    fn receive_reply(&mut self, entry: usize, home: usize, link: u64, reply: Body) {
         if self.links.get(&(entry, home)) != Some(&link) {
             return;
         }
@@ -60,13 +60,13 @@
             Body::Revoked(id) => (id, Event::Revoked(id)),
             Body::Answered(id, answer, error) => (id, Event::Answered { id, answer, error }),
             Body::Broken(id) => (id, Event::Broken(id)),
-            Body::Ended(id) => {
+            Body::Terminated(id) => {
                 let order = (0..self.homes.len()).map(vm).collect();
                 (id, Event::UpstreamTerminated { id, order })
             }
-            Body::Told(id, reply) => (id, Event::QueryReplied(id, reply)),
+            Body::QueryReply(id, reply) => (id, Event::QueryReplied(id, reply)),
             Body::Straggles(id) => (id, Event::Straggles(id)),
-            other => panic!("{other:?} is no reply"),
+            other => panic!("{other:?} is not a reply"),
         };
         let attempt = self.entries[entry].attempts.get(&id).copied();
         if let Some((call, _, _)) = attempt {
@@ -74,27 +74,27 @@
         }
     }
 
-    pub(super) fn perform(&mut self, home: usize, actions: Vec<home::Action>) {
+    pub(super) fn perform_home_actions(&mut self, home: usize, actions: Vec<home::Action>) {
         for action in actions {
             match action {
                 home::Action::Start(id) => {
                     assert!(
-                        !self.homes[home].leaving,
-                        "a leaving upstream was given new work"
+                        !self.homes[home].draining,
+                        "a draining upstream was given new work"
                     );
-                    let dropped = (home, self.homes[home].boot, id);
+                    let attempt = (home, self.homes[home].boot, id);
                     assert!(
-                        !self.cancelled.contains(&dropped),
-                        "attempt {id} was cancelled and started"
+                        !self.cancelled.contains(&attempt),
+                        "attempt {id} was started after it was cancelled"
                     );
-                    let call = self.calls_of[&id];
+                    let call = self.call_by_attempt[&id];
                     *self.oracle.runs.entry(call).or_insert(0) += 1;
                     *self.oracle.arrivals.entry(call).or_insert(0) += 1;
                     self.homes[home].running.push(id);
                 }
                 home::Action::Refuse(id, refusal) => self.reply(home, Body::Refused(id, refusal)),
                 home::Action::Revoke(id) => self.reply(home, Body::Revoked(id)),
-                home::Action::Probe => self.homes[home].looking = true,
+                home::Action::Probe => self.homes[home].is_probing = true,
                 home::Action::Straggles(id) => self.reply(home, Body::Straggles(id)),
             }
         }
@@ -114,28 +114,28 @@
         let late = call.late_events();
         let actions = call.step(now, event, &mut node.duty);
         if let Some(home) = ended.filter(|_| call.late_events() == late) {
-            self.oracle.ended.insert((id, home));
+            self.oracle.terminated.insert((id, home));
         }
         let offers = |action: &Action<CallId>| matches!(action, Action::Offer { .. });
         let hedged = call.take_hedge().map(|hedge| hedge.decision);
         assert!(
             !is_straggler || actions.iter().any(offers) == (hedged == Some(HedgeDecision::Made)),
-            "a second attempt was made and not told, or told and not made"
+            "a hedged attempt was made but not reported, or reported but not made"
         );
         if hedged == Some(HedgeDecision::Made) {
             assert!(
-                !self.oracle.once.contains(&id),
-                "call {id} may run once and got a second attempt"
+                !self.oracle.non_repeatable.contains(&id),
+                "call {id} may not be repeated and got a hedged attempt"
             );
             self.oracle.hedges += 1;
         }
-        self.oracle.won_by_second += u32::from(hedged == Some(HedgeDecision::WonByHedge));
+        self.oracle.won_by_hedge += u32::from(hedged == Some(HedgeDecision::WonByHedge));
         for action in actions {
-            self.carry_out(entry, id, action);
+            self.perform_entry_action(entry, id, action);
         }
     }
 
-    fn carry_out(&mut self, entry: usize, call: CallId, action: Action<CallId>) {
+    fn perform_entry_action(&mut self, entry: usize, call: CallId, action: Action<CallId>) {
         match action {
             Action::Offer {
                 id,
@@ -146,11 +146,11 @@
             } => {
                 let home = index(&to);
                 assert!(
-                    !self.oracle.ended.contains(&(call, home)),
-                    "call {call} was offered again to an upstream that it ended"
+                    !self.oracle.terminated.contains(&(call, home)),
+                    "call {call} was offered again to an upstream that terminated while running it"
                 );
                 let boot = self.homes[home].boot;
-                self.calls_of.insert(id, call);
+                self.call_by_attempt.insert(id, call);
                 self.entries[entry].attempts.insert(id, (call, home, boot));
                 let offer = Offer {
                     id,
@@ -159,12 +159,12 @@
                     objective_us: None,
                     priority: 1,
                     level: (call % u64::from(LEVELS)) as u32,
-                    repeatable: !self.oracle.once.contains(&call),
+                    repeatable: !self.oracle.non_repeatable.contains(&call),
                     may_queue,
                     repeat,
                     suspicion,
                     returned: false,
-                    // Also for requests that may run once: the home duty must not report them.
+                    // Also set for requests that may not be repeated: the home duty must not report these.
                     report_straggler: true,
                     known_limit: None,
                     account: None,
@@ -173,12 +173,12 @@
             }
             Action::Query { id, to } => {
                 let (_, _, boot) = self.entries[entry].attempts[&id];
-                self.send(entry, index(&to), Body::Ask(id, boot));
+                self.send(entry, index(&to), Body::Query(id, boot));
             }
             Action::Cancel { id, to } => self.send(entry, index(&to), Body::Cancel(id)),
             Action::Finish(outcome) => {
-                let before = self.oracle.told.insert(call, outcome);
-                assert!(before.is_none(), "call {call} was told two things");
+                let before = self.oracle.outcomes.insert(call, outcome);
+                assert!(before.is_none(), "call {call} got two outcomes");
             }
         }
     }
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -1,5 +1,5 @@
-//! Entry and home duties joined by a pool of messages that may delay, drop, duplicate and reorder,
-//! and a simple oracle: what ran, how often, and what each caller was told.
+//! Entry and home duties that exchange messages which may be delayed, dropped, duplicated and reordered,
+//! and a simple oracle: what ran, how often, and the outcome of each call.
 
 mod delivery;
 mod repeats;
@@ -11,28 +11,28 @@
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND, SECOND};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A call's number; also its whole answer.
+/// Number of a call; also its complete answer.
 pub type CallId = u64;
 
 const SLOTS: u32 = 2;
 const DEADLINE_US: u64 = 2 * SECOND;
-/// Repeats that may be saved where a world sets how many each request earns.
-const MOST_SAVED: f64 = 5.0;
-/// Levels of calls; each is a class of its own.
+/// Maximum balance of a retry budget, in worlds that set the deposit of each request.
+const MAX_BALANCE: f64 = 5.0;
+/// Number of call levels; each is a class of its own.
 const LEVELS: u32 = 3;
 
 #[derive(Debug, Clone)]
 enum Body {
     Offer(Offer),
-    Ask(AttemptId, BootId),
+    Query(AttemptId, BootId),
     Cancel(AttemptId),
     Refused(AttemptId, Refusal),
     Revoked(AttemptId),
     Answered(AttemptId, CallId, bool),
     Broken(AttemptId),
-    /// The upstream ended while it ran the attempt.
-    Ended(AttemptId),
-    Told(AttemptId, QueryReply<CallId>),
+    /// The upstream terminated while running the attempt.
+    Terminated(AttemptId),
+    QueryReply(AttemptId, QueryReply<CallId>),
     Straggles(AttemptId),
 }
 
@@ -40,7 +40,7 @@
 struct Message {
     entry: usize,
     home: usize,
-    /// Connection on which it travels; a reply on a cut connection is lost.
+    /// Connection that carries it; a reply on a broken connection is lost.
     link: u64,
     body: Body,
 }
@@ -55,88 +55,94 @@
     boot: BootId,
     duty: Home<CallId>,
     running: Vec<AttemptId>,
-    routes: HashMap<AttemptId, (usize, u64)>,
-    leaving: bool,
+    reply_links: HashMap<AttemptId, (usize, u64)>,
+    draining: bool,
     paused: bool,
-    /// Whether the home duty has asked for the upstream's pace.
-    looking: bool,
+    /// Whether the home duty has requested a probe of the upstream.
+    is_probing: bool,
 }
 
-/// What a run of the world has shown.
+/// What has happened in a run of the world.
 #[derive(Debug, Default)]
 pub struct Oracle {
     /// Calls that may not be repeated.
-    pub once: HashSet<CallId>,
-    /// Starts at an upstream, by call.
+    pub non_repeatable: HashSet<CallId>,
+    /// Number of runs at upstreams, by call.
     pub runs: HashMap<CallId, u32>,
-    /// Upstreams that have seen the request, by call.
+    /// Number of upstreams that have received the request, by call.
     pub arrivals: HashMap<CallId, u32>,
-    /// Attempts that an upstream turned away.
+    /// Attempts that an upstream rejected.
     pub shed: HashSet<AttemptId>,
-    /// Of these, those of which a home duty that was asked could only say that they did not run: the entry duty takes
-    /// them for ones that no upstream has seen, and the next offer is free. The budget is known not to cover these, also
-    /// without second attempts.
-    pub shed_untold: u32,
-    /// Second attempts made.
+    /// Number of these for which the home duty replied to a query only that they did not run. The entry duty then
+    /// assumes that no upstream has received the request, and the next offer costs no repeat. The retry budget is known
+    /// not to cover these, with or without hedged attempts.
+    pub shed_reported_as_revoked: u32,
+    /// Hedged attempts made.
     pub hedges: u32,
-    /// Second attempts that brought the answer.
-    pub won_by_second: u32,
-    /// Upstreams that ended under a call, as far as the call knows.
-    pub ended: HashSet<(CallId, usize)>,
-    /// What each caller was told.
-    pub told: HashMap<CallId, Outcome<CallId>>,
-    /// Calls whose caller hung up or whose entry node died.
-    pub abandoned: HashSet<CallId>,
+    /// Hedged attempts that produced the answer.
+    pub won_by_hedge: u32,
+    /// Upstreams that terminated while running a call, as far as the call knows.
+    pub terminated: HashSet<(CallId, usize)>,
+    /// Outcomes, by call.
+    pub outcomes: HashMap<CallId, Outcome<CallId>>,
+    /// Calls whose caller disconnected.
+    pub disconnected: HashSet<CallId>,
 }
 
-/// The whole world.
+/// Entry and home nodes, the messages between them, and the oracle.
 pub struct World {
     now: Moment,
     entries: Vec<EntryNode>,
     homes: Vec<HomeNode>,
     links: HashMap<(usize, usize), u64>,
-    pool: Vec<Message>,
-    calls_of: HashMap<AttemptId, CallId>,
-    /// Attempts that a home duty knew, had not started, and was told to drop.
+    in_transit: Vec<Message>,
+    call_by_attempt: HashMap<AttemptId, CallId>,
+    /// Attempts that were cancelled at a home duty that had received their offer but not started them.
     cancelled: HashSet<(usize, BootId, AttemptId)>,
     next_call: CallId,
     next_boot: u64,
     next_link: u64,
-    looks: bool,
-    /// Repeats earned by each request; the usual share where none is set.
-    earned: Option<f64>,
-    /// What was seen.
+    can_probe: bool,
+    /// Share of a repeat that each request deposits; none: the default.
+    deposit: Option<f64>,
+    /// What has happened so far.
     pub oracle: Oracle,
 }
 
 impl World {
-    /// A world of `entries` entry duties and `homes` home duties of one service.
+    /// Creates a world with `entries` entry duties and `homes` home duties of one service.
     pub fn new(entries: usize, homes: usize) -> World {
-        World::with_looks(entries, homes, false, None)
+        World::with_options(entries, homes, false, None)
     }
 
-    /// The same, where home duties may look at the pace of their upstreams and each request earns `earned` repeats.
-    pub fn with_looks(entries: usize, homes: usize, looks: bool, earned: Option<f64>) -> World {
+    /// Creates a world and sets whether home duties may probe their upstreams, and the share of a repeat that each
+    /// request deposits.
+    pub fn with_options(
+        entries: usize,
+        homes: usize,
+        can_probe: bool,
+        deposit: Option<f64>,
+    ) -> World {
         let mut world = World {
             now: Moment(1),
             entries: Vec::new(),
             homes: Vec::new(),
             links: HashMap::new(),
-            pool: Vec::new(),
-            calls_of: HashMap::new(),
+            in_transit: Vec::new(),
+            call_by_attempt: HashMap::new(),
             cancelled: HashSet::new(),
             next_call: 1,
             next_boot: 1,
             next_link: 1,
-            looks,
-            earned,
+            can_probe,
+            deposit,
             oracle: Oracle::default(),
         };
         for _ in 0..entries {
             let boot = world.boot();
             let mut duty = Entry::new(boot, SelectionRule::Expected, boot.0);
-            if let Some(deposit_per_request) = earned {
-                let max_balance = MOST_SAVED;
+            if let Some(deposit_per_request) = deposit {
+                let max_balance = MAX_BALANCE;
                 duty.set_retry_config(RetryBudgetConfig {
                     deposit_per_request,
                     max_balance,
@@ -155,13 +161,13 @@
         world
     }
 
-    /// A caller sends a request.
-    pub fn call(&mut self, entry: usize, once: bool) {
+    /// Sends a request of a caller.
+    pub fn call(&mut self, entry: usize, non_repeatable: bool) {
         let entry = entry % self.entries.len();
         let id = self.next_call;
         self.next_call += 1;
-        if once {
-            self.oracle.once.insert(id);
+        if non_repeatable {
+            self.oracle.non_repeatable.insert(id);
         }
         let candidates = (0..self.homes.len())
             .map(|home| Candidate {
@@ -171,9 +177,9 @@
             })
             .collect();
         let treatment = Treatment {
-            repeatable: !once,
+            repeatable: !non_repeatable,
             priority: 1,
-            max_runs: if once { 1 } else { 2 },
+            max_runs: if non_repeatable { 1 } else { 2 },
             max_arrivals: 2,
             origin: Origin::Client,
         };
@@ -182,26 +188,26 @@
         self.step_call(entry, id, Event::Begin);
     }
 
-    /// A message arrives; any of those on the way.
+    /// Delivers one of the messages in transit.
     pub fn deliver(&mut self, pick: usize) {
-        if self.pool.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let message = self.pool.remove(pick % self.pool.len());
-        self.arrive(message);
+        let message = self.in_transit.remove(pick % self.in_transit.len());
+        self.receive(message);
     }
 
-    /// A message arrives and stays on the way as well.
+    /// Delivers a message and leaves a copy in transit.
     pub fn duplicate(&mut self, pick: usize) {
-        if self.pool.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let message = self.pool[pick % self.pool.len()].clone();
-        self.arrive(message);
+        let message = self.in_transit[pick % self.in_transit.len()].clone();
+        self.receive(message);
     }
 
-    /// A connection breaks. What the home duty has not read yet it may still read later.
-    pub fn cut(&mut self, entry: usize, home: usize) {
+    /// Breaks a connection. Messages to the home duty that are still in transit may arrive later.
+    pub fn cut_link(&mut self, entry: usize, home: usize) {
         let (entry, home) = (entry % self.entries.len(), home % self.homes.len());
         self.links.remove(&(entry, home));
         let lost: Vec<(AttemptId, CallId)> = self.entries[entry]
@@ -215,8 +221,8 @@
         }
     }
 
-    /// A node does not answer heartbeats.
-    pub fn silent(&mut self, entry: usize, home: usize) {
+    /// Reports to the entry duty that a home node does not reply to heartbeats.
+    pub fn node_unresponsive(&mut self, entry: usize, home: usize) {
         let (entry, home) = (entry % self.entries.len(), home % self.homes.len());
         let waiting: Vec<(AttemptId, CallId)> = self.entries[entry]
             .attempts
@@ -229,15 +235,15 @@
         }
     }
 
-    /// An upstream ends a request.
-    pub fn finish(&mut self, home: usize, pick: usize, verdict: Verdict) {
+    /// Ends a run at an upstream.
+    pub fn finish_run(&mut self, home: usize, pick: usize, verdict: Verdict) {
         let home = home % self.homes.len();
         let node = &mut self.homes[home];
         if node.running.is_empty() || node.paused {
             return;
         }
         let id = node.running.remove(pick % node.running.len());
-        let call = self.calls_of[&id];
+        let call = self.call_by_attempt[&id];
         let not_run = matches!(verdict, Verdict::Shed | Verdict::NotSent);
         if not_run {
             *self.oracle.runs.get_mut(&call).expect("it was started") -= 1;
@@ -249,39 +255,39 @@
             let arrivals = self.oracle.arrivals.get_mut(&call);
             *arrivals.expect("it was started") -= 1;
         }
-        let whole = matches!(verdict, Verdict::Good | Verdict::Error);
+        let has_answer = matches!(verdict, Verdict::Good | Verdict::Error);
         let actions = node
             .duty
-            .completed(self.now, id, verdict, whole.then_some(call));
-        if whole {
+            .completed(self.now, id, verdict, has_answer.then_some(call));
+        if has_answer {
             self.reply(home, Body::Answered(id, call, verdict == Verdict::Error));
         } else if verdict == Verdict::Ended {
-            self.reply(home, Body::Ended(id));
+            self.reply(home, Body::Terminated(id));
         } else if !not_run {
             self.reply(home, Body::Broken(id));
         }
-        self.perform(home, actions);
+        self.perform_home_actions(home, actions);
     }
 
-    /// An upstream tells its pace, or nothing, if it was asked.
-    pub fn probed(&mut self, home: usize, probed: ProbeResult) {
+    /// Finishes a probe of an upstream, if one is in progress.
+    pub fn probe_finished(&mut self, home: usize, result: ProbeResult) {
         let home = home % self.homes.len();
         let node = &mut self.homes[home];
-        if node.paused || !node.looking {
+        if node.paused || !node.is_probing {
             return;
         }
-        node.looking = false;
-        let actions = node.duty.probe_finished(self.now, probed);
-        self.perform(home, actions);
+        node.is_probing = false;
+        let actions = node.duty.probe_finished(self.now, result);
+        self.perform_home_actions(home, actions);
     }
 
-    /// Time passes; deadlines and queues notice.
+    /// Advances the clock and handles deadlines and queues.
     pub fn advance(&mut self, ms: u64) {
         self.now = self.now + ms * MILLISECOND;
         for home in 0..self.homes.len() {
             if !self.homes[home].paused {
                 let actions = self.homes[home].duty.tick(self.now);
-                self.perform(home, actions);
+                self.perform_home_actions(home, actions);
             }
         }
         for entry in 0..self.entries.len() {
@@ -297,48 +303,48 @@
         }
     }
 
-    /// A home node and its upstream die and come back with another boot.
-    pub fn kill(&mut self, home: usize) {
+    /// Restarts a home node and its upstream, with a new boot.
+    pub fn restart_home(&mut self, home: usize) {
         let home = home % self.homes.len();
         self.homes[home] = self.home_node();
-        self.pool.retain(|message| message.home != home);
+        self.in_transit.retain(|message| message.home != home);
         for entry in 0..self.entries.len() {
-            self.cut(entry, home);
+            self.cut_link(entry, home);
         }
     }
 
-    /// A home node is frozen, or thaws.
-    pub fn pause(&mut self, home: usize, paused: bool) {
+    /// Pauses or resumes a home node.
+    pub fn set_paused(&mut self, home: usize, paused: bool) {
         let home = home % self.homes.len();
         self.homes[home].paused = paused;
     }
 
-    /// An upstream begins to leave.
-    pub fn leave(&mut self, home: usize) {
+    /// Starts the drain of an upstream.
+    pub fn start_drain(&mut self, home: usize) {
         let home = home % self.homes.len();
         let node = &mut self.homes[home];
         if node.paused {
             return;
         }
-        node.leaving = true;
+        node.draining = true;
         let actions = node.duty.start_drain(self.now);
-        self.perform(home, actions);
+        self.perform_home_actions(home, actions);
     }
 
-    /// An upstream that was about to leave stays.
-    pub fn stay(&mut self, home: usize) {
+    /// Ends the drain of an upstream that stays.
+    pub fn end_drain(&mut self, home: usize) {
         let node = {
             let count = self.homes.len();
             &mut self.homes[home % count]
         };
         if !node.paused {
-            node.leaving = false;
+            node.draining = false;
             node.duty.end_drain();
         }
     }
 
-    /// A caller hangs up.
-    pub fn hang_up(&mut self, entry: usize, pick: usize) {
+    /// Disconnects a caller.
+    pub fn disconnect_caller(&mut self, entry: usize, pick: usize) {
         let entry = entry % self.entries.len();
         let open: Vec<CallId> = self.entries[entry]
             .calls
@@ -347,65 +353,65 @@
             .map(|(id, _)| *id)
             .collect();
         if let Some(call) = open.get(pick % open.len().max(1)) {
-            self.oracle.abandoned.insert(*call);
+            self.oracle.disconnected.insert(*call);
             self.step_call(entry, *call, Event::CallerDisconnected);
         }
     }
 
-    /// Everything on the way arrives, everything that runs ends, and every deadline passes.
+    /// Delivers all messages, ends all runs and lets every deadline pass.
     pub fn settle(&mut self) {
         for home in 0..self.homes.len() {
-            self.pause(home, false);
+            self.set_paused(home, false);
         }
         for _ in 0..1_000 {
-            while !self.pool.is_empty() {
+            while !self.in_transit.is_empty() {
                 self.deliver(0);
             }
-            let is_busy = |home: &HomeNode| !home.running.is_empty() || home.looking;
+            let is_busy = |home: &HomeNode| !home.running.is_empty() || home.is_probing;
             let busy = self.homes.iter().any(is_busy);
             for home in 0..self.homes.len() {
-                self.probed(home, ProbeResult::percent(100));
-                self.finish(home, 0, Verdict::Good);
+                self.probe_finished(home, ProbeResult::percent(100));
+                self.finish_run(home, 0, Verdict::Good);
             }
-            if !busy && self.pool.is_empty() {
+            if !busy && self.in_transit.is_empty() {
                 break;
             }
         }
         self.advance(DEADLINE_US / MILLISECOND + 1);
-        while !self.pool.is_empty() {
+        while !self.in_transit.is_empty() {
             self.deliver(0);
         }
     }
 
-    /// The promises that hold at every moment.
-    pub fn check(&self) {
+    /// Checks the invariants that hold at all times.
+    pub fn check_invariants(&self) {
         for (call, runs) in &self.oracle.runs {
             assert!(
-                *runs <= 1 || !self.oracle.once.contains(call),
-                "call {call} may run once and ran {runs} times"
+                *runs <= 1 || !self.oracle.non_repeatable.contains(call),
+                "call {call} may not be repeated and ran {runs} times"
             );
-            if let Some(Outcome::NotRun(refusal)) = self.oracle.told.get(call) {
+            if let Some(Outcome::NotRun(refusal)) = self.oracle.outcomes.get(call) {
                 assert!(
                     *runs == 0,
-                    "call {call} was told not-run ({:?}) and ran",
+                    "call {call} got the outcome not-run ({:?}) and ran",
                     refusal.reason
                 );
             }
         }
         self.check_budgets();
-        for (call, outcome) in &self.oracle.told {
+        for (call, outcome) in &self.oracle.outcomes {
             if let Outcome::Answered(answer) = outcome {
                 assert_eq!(answer, call, "call {call} got the answer of another");
             }
         }
     }
 
-    /// Every caller that stayed was told something.
-    pub fn check_settled(&self) {
+    /// Checks that every call has an outcome, unless its caller disconnected.
+    pub fn check_all_have_outcome(&self) {
         for call in 1..self.next_call {
-            let ended =
-                self.oracle.told.contains_key(&call) || self.oracle.abandoned.contains(&call);
-            assert!(ended, "call {call} was never told anything");
+            let has_ended = self.oracle.outcomes.contains_key(&call)
+                || self.oracle.disconnected.contains(&call);
+            assert!(has_ended, "call {call} never got an outcome");
         }
     }
 
@@ -420,21 +426,21 @@
             slots: SLOTS,
             max_records: 2,
             max_answers: 1,
-            can_probe: self.looks,
+            can_probe: self.can_probe,
             ..Config::default()
         };
         let mut duty = Home::new(boot, cfg);
-        if self.earned.is_some() {
-            self.learn_usual_runs(&mut duty);
+        if self.deposit.is_some() {
+            self.learn_typical_runs(&mut duty);
         }
         HomeNode {
             boot,
             duty,
             running: Vec::new(),
-            routes: HashMap::new(),
-            leaving: false,
+            reply_links: HashMap::new(),
+            draining: false,
             paused: false,
-            looking: false,
+            is_probing: false,
         }
     }
 
@@ -449,7 +455,7 @@
 
     fn send(&mut self, entry: usize, home: usize, body: Body) {
         let link = self.link(entry, home);
-        self.pool.push(Message {
+        self.in_transit.push(Message {
             entry,
             home,
             link,
@@ -457,20 +463,20 @@
         });
     }
 
-    /// Sends to the entry duty that waits for the attempt, over the connection it came on.
+    /// Sends a reply to the entry duty that waits for the attempt, over the connection of its last message.
     fn reply(&mut self, home: usize, body: Body) {
         let id = match &body {
             Body::Refused(id, _)
             | Body::Revoked(id)
             | Body::Answered(id, _, _)
             | Body::Broken(id)
-            | Body::Ended(id)
+            | Body::Terminated(id)
             | Body::Straggles(id)
-            | Body::Told(id, _) => *id,
-            other => panic!("{other:?} is no reply"),
+            | Body::QueryReply(id, _) => *id,
+            other => panic!("{other:?} is not a reply"),
         };
-        if let Some((entry, link)) = self.homes[home].routes.get(&id).copied() {
-            self.pool.push(Message {
+        if let Some((entry, link)) = self.homes[home].reply_links.get(&id).copied() {
+            self.in_transit.push(Message {
                 entry,
                 home,
                 link,
--- a/components/entry/tests/attempts/world/repeats.rs
+++ b/components/entry/tests/attempts/world/repeats.rs
@@ -1,34 +1,34 @@
-//! What repeats may cost, and what home duties must know before they report stragglers.
+//! The bound on repeats, and the run times that a home duty must learn before it reports stragglers.
 
 use super::{CallId, World, DEADLINE_US, LEVELS};
 use home::{Home, Offer, ProbeResult, Suspicion, Verdict};
 use names::{AttemptId, MILLISECOND};
 
-/// Repeats earned by a request where a world sets none.
-const USUAL_EARNED: f64 = 0.1;
-/// A run that a home duty has seen often takes so long.
-const USUAL_RUN_US: u64 = 30 * MILLISECOND;
-/// Runs after which a home duty knows what is usual.
-const KNOWN_RUNS: u64 = 20;
+/// Share of a repeat that a request deposits, unless the world sets another.
+const DEFAULT_DEPOSIT: f64 = 0.1;
+/// Typical run time, learned by home duties.
+const TYPICAL_RUN_US: u64 = 30 * MILLISECOND;
+/// Number of runs after which a home duty knows the typical run time of a class.
+const LEARNING_RUNS: u64 = 20;
 
 impl World {
-    /// No more requests reach an upstream another time than were earned.
+    /// Checks that no more repeats reach upstreams than were deposited in the retry budgets.
     pub(super) fn check_budgets(&self) {
         let repeats = |arrivals: &u32| arrivals.saturating_sub(1);
         let repeats: u32 = self.oracle.arrivals.values().map(repeats).sum();
         let requests = (self.next_call - 1) as f64;
-        let earned = requests * self.earned.unwrap_or(USUAL_EARNED);
-        let free = f64::from(self.oracle.shed_untold);
+        let earned = requests * self.deposit.unwrap_or(DEFAULT_DEPOSIT);
+        let free = f64::from(self.oracle.shed_reported_as_revoked);
         assert!(
             f64::from(repeats) <= earned + free + 1e-6,
-            "{repeats} repeats, and {earned} were earned"
+            "{repeats} repeats, but only {earned} were earned"
         );
     }
 
-    /// Lets a home duty see as many usual runs as it needs to know a straggler.
-    pub(super) fn learn_usual_runs(&mut self, duty: &mut Home<CallId>) {
+    /// Lets a home duty run as many typical requests as it needs to recognize a straggler.
+    pub(super) fn learn_typical_runs(&mut self, duty: &mut Home<CallId>) {
         let boot = self.boot();
-        for seq in 0..KNOWN_RUNS * u64::from(LEVELS) {
+        for seq in 0..LEARNING_RUNS * u64::from(LEVELS) {
             let id = AttemptId { boot, seq };
             let offer = Offer {
                 id,
@@ -47,10 +47,10 @@
                 account: None,
             };
             duty.offer(self.now, &offer);
-            if self.looks {
+            if self.can_probe {
                 duty.probe_finished(self.now, ProbeResult::percent(100));
             }
-            self.now = self.now + USUAL_RUN_US;
+            self.now = self.now + TYPICAL_RUN_US;
             duty.completed(self.now, id, Verdict::Good, None);
         }
     }
