--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -119,14 +119,15 @@
         self
     }
 
-    /// Sets the upstreams without an open connection. An offer to one of them waits for the connection.
+    /// Sets the upstreams without an open connection. An offer to one of them waits for the
+    /// connection.
     pub fn with_reserve(mut self, reserve: Vec<Candidate>) -> Call<A> {
         self.reserve = reserve;
         self
     }
 
-    /// Makes the request a suspect, because an upstream terminated while running a copy of it. `order` lists
-    /// the VMs at which it may run, in order of preference.
+    /// Makes the request a suspect, because an upstream terminated while running a copy of it.
+    /// `order` lists the VMs at which it may run, in order of preference.
     pub fn with_suspect_order(mut self, order: Vec<Name>) -> Call<A> {
         self.suspect = Some(Suspect::new(order));
         self
@@ -142,7 +143,8 @@
         self.offers
     }
 
-    /// Whether an offer was refused by a home duty that knows whether the call's idempotency key was used.
+    /// Whether an offer was refused by a home duty that knows whether the call's idempotency key
+    /// was used.
     pub fn has_certain_refusal(&self) -> bool {
         self.has_certain_refusal
     }
@@ -274,7 +276,8 @@
         self.offer_next(now, entry)
     }
 
-    /// Handles a request that an upstream received and rejected: the next upstream receives a repeat.
+    /// Handles a request that an upstream received and rejected: the next upstream receives a
+    /// repeat.
     fn shed(&mut self, now: Moment, vm: Name, entry: &mut Entry) -> Vec<Action<A>> {
         self.exclude(vm);
         self.record_arrival();
@@ -339,9 +342,9 @@
         self.offer_next(now, entry)
     }
 
-    /// Handles an upstream that terminated while running the request, which may be the cause. The request runs
-    /// at most once more, where it can be distinguished from other suspects. A request that was a suspect
-    /// before is not run again, so that it can't crash another upstream.
+    /// Handles an upstream that terminated while running the request, which may be the cause. The
+    /// request runs at most once more, where it can be distinguished from other suspects. A request
+    /// that was a suspect before is not run again, so that it can't crash another upstream.
     fn upstream_terminated(
         &mut self,
         now: Moment,
@@ -363,7 +366,8 @@
         self.offer_next(now, entry)
     }
 
-    /// Sends a query about a request that may not be repeated. Offers a repeatable request to the next upstream.
+    /// Sends a query about a request that may not be repeated. Offers a repeatable request to the
+    /// next upstream.
     fn connection_lost(&mut self, now: Moment, id: AttemptId, entry: &mut Entry) -> Vec<Action<A>> {
         let Some(to) = self.vm_if_current(id) else {
             return self.drop_late_event();
@@ -399,7 +403,8 @@
         }
     }
 
-    /// Abandons the attempt at an unresponsive node if the request may run again; otherwise keeps waiting.
+    /// Abandons the attempt at an unresponsive node if the request may run again; otherwise keeps
+    /// waiting.
     fn node_unresponsive(
         &mut self,
         now: Moment,
@@ -449,7 +454,8 @@
             .collect()
     }
 
-    /// Ends the call without a further offer. The outcome is never "not run" if an attempt may have run.
+    /// Ends the call without a further offer. The outcome is never "not run" if an attempt may have
+    /// run.
     fn give_up(&mut self, reason: Reason, entry: &mut Entry) -> Vec<Action<A>> {
         if let Some(answer) = self.fallback.take() {
             return self.finish(Outcome::Answered(answer), entry);
--- a/components/entry/src/call/hedge.rs
+++ b/components/entry/src/call/hedge.rs
@@ -1,11 +1,11 @@
 //! The hedged attempt of a call whose first attempt takes much longer than is typical.
 //!
-//! Hedging is meant for a load where 3% of the runs take seven times their typical time, and a second run of the same
-//! request takes the typical time. No hedge is made while the service is short of slots, because it would take a slot
-//! from a request that has not had one yet.
+//! Hedging is meant for a load where 3% of the runs take seven times their typical time, and a
+//! second run of the same request takes the typical time. No hedge is made while the service is
+//! short of slots, because it would take a slot from a request that has not had one yet.
 //!
-//! While both attempts are in flight, this module handles the events of both. When one fails, the other continues as
-//! the call's only attempt.
+//! While both attempts are in flight, this module handles the events of both. When one fails, the
+//! other continues as the call's only attempt.
 
 use super::{Call, State};
 use crate::choice::Candidate;
@@ -16,8 +16,8 @@
 use home::{Load, Reason, Refusal, Suspicion};
 use names::{AttemptId, Moment, Name, SECOND};
 
-/// Time for which a service counts as short of slots after a refusal as busy, if the request has no objective, in
-/// microseconds.
+/// Time for which a service counts as short of slots after a refusal as busy, if the request has no
+/// objective, in microseconds.
 const DEFAULT_SHORTAGE_US: u64 = SECOND;
 
 /// State of a call's hedged attempt.
@@ -41,7 +41,8 @@
         matches!(self, HedgeState::InFlight { .. })
     }
 
-    /// Which attempt the answer comes from, if a hedge was made, with the ids of the first and the hedged attempt.
+    /// Which attempt the answer comes from, if a hedge was made, with the ids of the first and the
+    /// hedged attempt.
     fn won(&self, by: AttemptId) -> Option<(HedgeDecision, AttemptId, AttemptId)> {
         let (HedgeState::InFlight { first, hedged, .. } | HedgeState::Resolved { first, hedged }) =
             self
@@ -71,9 +72,10 @@
 
 /// Expected duration of a second run, in microseconds.
 ///
-/// The home duty reports a run that has taken longer than is typical, so the time since the offer is an upper bound. The
-/// service time that an upstream reports is a mean over all its classes, which short requests lower, so half of the time
-/// since the offer is a lower bound. A reported service time of zero means that it is unknown.
+/// The home duty reports a run that has taken longer than is typical, so the time since the offer
+/// is an upper bound. The service time that an upstream reports is a mean over all its classes,
+/// which short requests lower, so half of the time since the offer is a lower bound. A reported
+/// service time of zero means that it is unknown.
 fn expected_run_us(since_offer_us: u64, load: Option<Load>) -> u64 {
     let reported_us = load.map(|load| load.service_us).filter(|us| *us > 0);
     reported_us.map_or(since_offer_us, |us| {
@@ -92,8 +94,8 @@
             && self.arrivals + 1 < self.treatment.max_arrivals
     }
 
-    /// Forbids a hedged attempt, because an upstream has terminated while running another copy of the request since the
-    /// call began.
+    /// Forbids a hedged attempt, because an upstream has terminated while running another copy of
+    /// the request since the call began.
     pub fn forbid_hedge(&mut self) {
         self.hedge_forbidden = true;
     }
@@ -315,8 +317,8 @@
         Some(vm)
     }
 
-    /// Handles the failure of one of two attempts: the other continues as the call's only one. Returns the VM of the
-    /// failed one.
+    /// Handles the failure of one of two attempts: the other continues as the call's only one.
+    /// Returns the VM of the failed one.
     fn attempt_failed(
         &mut self,
         id: AttemptId,
@@ -340,7 +342,8 @@
                 Failure::Shed | Failure::Ran => self.record_arrival(),
             }
             self.offer_may_queue = false;
-            // The repeat of the hedged attempt is spent, and whether it reaches an upstream is not known yet.
+            // The repeat of the hedged attempt is spent, and whether it reaches an upstream is not
+            // known yet.
             self.repeat_pending = true;
             self.state = State::Waiting {
                 id: hedged,
--- a/components/entry/src/call/offers.rs
+++ b/components/entry/src/call/offers.rs
@@ -9,28 +9,29 @@
 
 /// Number of offers that only use a free slot, before one that may queue.
 const IMMEDIATE_OFFERS: u32 = 2;
-/// The same under [`SelectionRule::Priced`], to upstreams of the same hall. At peak load, a third of them
-/// is in a slow phase and a third is full, and a refusal costs a fraction of a millisecond. Compared with
-/// 3 such offers, 5 add 0.02 to 0.04 of the value of the requests on large sites.
+/// The same under [`SelectionRule::Priced`], to upstreams of the same hall. At peak load, a third
+/// of them is in a slow phase and a third is full, and a refusal costs a fraction of a millisecond.
+/// Compared with 3 such offers, 5 add 0.02 to 0.04 of the value of the requests on large sites.
 const IMMEDIATE_SAME_HALL_OFFERS: u32 = 5;
 
 impl<A: Clone> Call<A> {
-    /// Whether the next offer may queue: enough offers that may not queue were made, or no upstream is left
-    /// that might have a free slot.
+    /// Whether the next offer may queue: enough offers that may not queue were made, or no upstream
+    /// is left that might have a free slot.
     pub(super) fn next_may_queue(&self, now: Moment, entry: &Entry) -> bool {
         self.offers >= IMMEDIATE_OFFERS || self.eligible(false, now, entry).is_empty()
     }
 
-    /// The same where crossing to another hall has a price: offers that may not queue go to upstreams of the
-    /// same hall only. A refusal reports the current wait there, so that the next choice between queueing and
-    /// crossing to another hall uses up-to-date reports.
+    /// The same where crossing to another hall has a price: offers that may not queue go to
+    /// upstreams of the same hall only. A refusal reports the current wait there, so that the next
+    /// choice between queueing and crossing to another hall uses up-to-date reports.
     pub(super) fn next_may_queue_priced(&self, now: Moment, entry: &Entry) -> bool {
         self.offers >= IMMEDIATE_SAME_HALL_OFFERS || self.eligible(false, now, entry).is_empty()
     }
 
-    /// The upstreams to which the next offer may go. An offer that may not queue goes only to upstreams that
-    /// have not refused and are not known to be full or draining. Without the check for draining, every request
-    /// was refused while the only upstream of the hall drained, though other halls could have served it.
+    /// The upstreams to which the next offer may go. An offer that may not queue goes only to
+    /// upstreams that have not refused and are not known to be full or draining. Without the check
+    /// for draining, every request was refused while the only upstream of the hall drained, though
+    /// other halls could have served it.
     pub(super) fn eligible<'a>(
         &'a self,
         may_queue: bool,
@@ -56,8 +57,8 @@
         entry.choose(now, &eligible, self.price, may_queue)
     }
 
-    /// Adds the upstreams without a connection to the candidates, unless the candidates are merely busy. Returns
-    /// whether any were added.
+    /// Adds the upstreams without a connection to the candidates, unless the candidates are merely
+    /// busy. Returns whether any were added.
     pub(super) fn add_reserve(&mut self) -> bool {
         let is_busy = |refusal: Refusal| refusal.reason == Reason::Busy;
         if self.suspect.is_some() || self.last_refusal.is_some_and(is_busy) {
@@ -76,8 +77,9 @@
         }
     }
 
-    /// Whether the current offer could queue, so that a refusal as busy shows a shortage of slots. An offer to run
-    /// alone can also be refused as busy because of another suspect, whatever slots are free.
+    /// Whether the current offer could queue, so that a refusal as busy shows a shortage of slots.
+    /// An offer to run alone can also be refused as busy because of another suspect, whatever slots
+    /// are free.
     pub(super) fn could_queue(&self) -> bool {
         self.offer_may_queue && self.suspicion != Suspicion::Alone
     }
@@ -111,7 +113,8 @@
         self.excluded.push(vm);
     }
 
-    /// Excludes a VM that revoked the attempt before it ran. If no candidate is left, all are admitted again.
+    /// Excludes a VM that revoked the attempt before it ran. If no candidate is left, all are
+    /// admitted again.
     pub(super) fn exclude_revoked(&mut self, vm: Name) {
         self.revoked_by.push(vm.clone());
         self.exclude(vm);
@@ -120,8 +123,9 @@
         }
     }
 
-    /// Excludes a VM where the request failed, unless it is the last candidate. A VM that revoked its attempt
-    /// before it ran, and is not draining, is preferred to one where the request failed.
+    /// Excludes a VM where the request failed, unless it is the last candidate. A VM that revoked
+    /// its attempt before it ran, and is not draining, is preferred to one where the request
+    /// failed.
     pub(super) fn exclude_failed(&mut self, now: Moment, vm: Name, entry: &Entry) {
         let is_last = self.excluded.len() + 1 >= self.candidates.len();
         if self.suspect.is_some() || !is_last || self.readmit_revoked(now, &vm, entry) {
@@ -129,8 +133,8 @@
         }
     }
 
-    /// Readmits the VMs that revoked the request, except `failed` and those that are draining. Returns whether there
-    /// are any.
+    /// Readmits the VMs that revoked the request, except `failed` and those that are draining.
+    /// Returns whether there are any.
     fn readmit_revoked(&mut self, now: Moment, failed: &Name, entry: &Entry) -> bool {
         let revoked_by = std::mem::take(&mut self.revoked_by);
         let may_readmit =
--- a/components/entry/src/call/repeats.rs
+++ b/components/entry/src/call/repeats.rs
@@ -4,16 +4,17 @@
 use crate::shared::Entry;
 
 impl<A: Clone> Call<A> {
-    /// Whether another run is within the limits of the treatment and of the service's retry budget. If so, its
-    /// repeat is spent.
+    /// Whether another run is within the limits of the treatment and of the service's retry budget.
+    /// If so, its repeat is spent.
     pub(super) fn may_retry(&mut self, entry: &mut Entry) -> bool {
         self.treatment.repeatable
             && self.runs < self.treatment.max_runs
             && self.try_spend_repeat(entry)
     }
 
-    /// Spends a repeat from the service's retry budget, one for each upstream after the first that receives the
-    /// request. Returns false if the treatment or the budget doesn't allow another upstream.
+    /// Spends a repeat from the service's retry budget, one for each upstream after the first that
+    /// receives the request. Returns false if the treatment or the budget doesn't allow another
+    /// upstream.
     pub(super) fn try_spend_repeat(&mut self, entry: &mut Entry) -> bool {
         if self.arrivals >= self.treatment.max_arrivals || !entry.spend_retry(&self.service) {
             return false;
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -12,7 +12,8 @@
     pub priority: u8,
     /// Maximum number of runs of a repeatable request, including the first.
     pub max_runs: u32,
-    /// Maximum number of upstreams that may receive the request, including those that reject it unrun.
+    /// Maximum number of upstreams that may receive the request, including those that reject it
+    /// unrun.
     pub max_arrivals: u32,
     /// The sender of the request.
     pub origin: Origin,
@@ -25,7 +26,8 @@
     Client,
     /// An upstream, for a request that it is running.
     Upstream,
-    /// An upstream, for a request that another upstream received before, so that the call is a repeat too.
+    /// An upstream, for a request that another upstream received before, so that the call is a
+    /// repeat too.
     UpstreamRepeat,
 }
 
@@ -53,7 +55,8 @@
     UpstreamTerminated {
         /// The attempt that ran.
         id: AttemptId,
-        /// The VMs at which the request may run now, in order of preference. Empty if it is quarantined.
+        /// The VMs at which the request may run now, in order of preference. Empty if it is
+        /// quarantined.
         order: Vec<Name>,
     },
     /// No byte of the offer left this node.
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,8 +1,9 @@
 //! Entry duty: makes attempts for a caller's request until it has one outcome.
 //!
-//! [`Call`] is the state machine of one request. [`Entry`] is the state that all calls of a node share:
-//! views of the upstreams, the retry budgets and the counter of attempts. Neither does any I/O or reads a
-//! clock: time is passed in, and each step returns the actions for the daemon to carry out.
+//! [`Call`] is the state machine of one request. [`Entry`] is the state that all calls of a node
+//! share: views of the upstreams, the retry budgets and the counter of attempts. Neither does any
+//! I/O or reads a clock: time is passed in, and each step returns the actions for the daemon to
+//! carry out.
 
 mod call;
 mod choice;
--- a/components/entry/tests/attempts/fuzz.rs
+++ b/components/entry/tests/attempts/fuzz.rs
@@ -1,7 +1,7 @@
 //! Stateful fuzzing of entry and home duties, checked against the oracle in `world`.
 //!
-//! The seed is fixed. `FUZZ_SEED` and `FUZZ_CASES` replace the seed and the number of cases; for long
-//! runs with other seeds see `docs/PROOFS.md`.
+//! The seed is fixed. `FUZZ_SEED` and `FUZZ_CASES` replace the seed and the number of cases; for
+//! long runs with other seeds see `docs/PROOFS.md`.
 
 use crate::world::World;
 use home::{ProbeResult, Verdict};
--- a/components/entry/tests/attempts/hedges.rs
+++ b/components/entry/tests/attempts/hedges.rs
@@ -1,4 +1,5 @@
-//! Random walks with many hedged attempts, lost messages, restarted home nodes and callers that disconnect.
+//! Random walks with many hedged attempts, lost messages, restarted home nodes and callers that
+//! disconnect.
 
 use crate::world::World;
 use entry::Outcome;
@@ -41,9 +42,9 @@
     }
 }
 
-/// Guards, with many hedged attempts, against a second run of a request that may not be repeated, a false "not run", a
-/// second offer to an upstream that terminated while running the request, the answer of another request, repeats beyond
-/// the budget and callers without an outcome.
+/// Guards, with many hedged attempts, against a second run of a request that may not be repeated, a
+/// false "not run", a second offer to an upstream that terminated while running the request, the
+/// answer of another request, repeats beyond the budget and callers without an outcome.
 #[test]
 fn outcomes_are_true_and_budget_holds_with_many_hedges() {
     let (mut hedges, mut won_by_hedge) = (0, 0);
--- a/components/entry/tests/attempts/world/delivery.rs
+++ b/components/entry/tests/attempts/world/delivery.rs
@@ -164,7 +164,8 @@
                     repeat,
                     suspicion,
                     returned: false,
-                    // Also set for requests that may not be repeated: the home duty must not report these.
+                    // Also set for requests that may not be repeated: the home duty must not report
+                    // these.
                     report_straggler: true,
                     known_limit: None,
                     account: None,
--- a/components/entry/tests/attempts/world/mod.rs
+++ b/components/entry/tests/attempts/world/mod.rs
@@ -1,5 +1,5 @@
-//! Entry and home duties that exchange messages which may be delayed, dropped, duplicated and reordered,
-//! and a simple oracle: what ran, how often, and the outcome of each call.
+//! Entry and home duties that exchange messages which may be delayed, dropped, duplicated and
+//! reordered, and a simple oracle: what ran, how often, and the outcome of each call.
 
 mod delivery;
 mod repeats;
@@ -73,9 +73,9 @@
     pub arrivals: HashMap<CallId, u32>,
     /// Attempts that an upstream rejected.
     pub shed: HashSet<AttemptId>,
-    /// Number of these for which the home duty replied to a query only that they did not run. The entry duty then
-    /// assumes that no upstream has received the request, and the next offer costs no repeat. The retry budget is known
-    /// not to cover these, with or without hedged attempts.
+    /// Number of these for which the home duty replied to a query only that they did not run. The
+    /// entry duty then assumes that no upstream has received the request, and the next offer costs
+    /// no repeat. The retry budget is known not to cover these, with or without hedged attempts.
     pub shed_reported_as_revoked: u32,
     /// Hedged attempts made.
     pub hedges: u32,
@@ -97,7 +97,8 @@
     links: HashMap<(usize, usize), u64>,
     in_transit: Vec<Message>,
     call_by_attempt: HashMap<AttemptId, CallId>,
-    /// Attempts that were cancelled at a home duty that had received their offer but not started them.
+    /// Attempts that were cancelled at a home duty that had received their offer but not started
+    /// them.
     cancelled: HashSet<(usize, BootId, AttemptId)>,
     next_call: CallId,
     next_boot: u64,
@@ -115,8 +116,8 @@
         World::with_options(entries, homes, false, None)
     }
 
-    /// Creates a world and sets whether home duties may probe their upstreams, and the share of a repeat that each
-    /// request deposits.
+    /// Creates a world and sets whether home duties may probe their upstreams, and the share of a
+    /// repeat that each request deposits.
     pub fn with_options(
         entries: usize,
         homes: usize,
@@ -463,7 +464,8 @@
         });
     }
 
-    /// Sends a reply to the entry duty that waits for the attempt, over the connection of its last message.
+    /// Sends a reply to the entry duty that waits for the attempt, over the connection of its last
+    /// message.
     fn reply(&mut self, home: usize, body: Body) {
         let id = match &body {
             Body::Refused(id, _)
--- a/components/entry/tests/attempts/world/repeats.rs
+++ b/components/entry/tests/attempts/world/repeats.rs
@@ -1,4 +1,5 @@
-//! The bound on repeats, and the run times that a home duty must learn before it reports stragglers.
+//! The bound on repeats, and the run times that a home duty must learn before it reports
+//! stragglers.
 
 use super::{CallId, World, DEADLINE_US, LEVELS};
 use home::{Home, Offer, ProbeResult, Suspicion, Verdict};
--- a/components/entry/tests/hedge/conditions.rs
+++ b/components/entry/tests/hedge/conditions.rs
@@ -1,181 +1,195 @@
-//! When a second attempt is made, and where it goes.
+//! When a hedged attempt is made, and which upstream it goes to.
 
 use crate::site::{
-    answered, entry, failed, full, offer, refusal, treatment, Site, DEADLINE_US, FAR, NEAR, START,
+    entry_with_repeats, error_answer, find_offer, full_load, good_answer, refusal, treatment,
+    Scenario, DEADLINE_US, OTHER_HALL, SAME_HALL, START,
 };
 use entry::{Event, HedgeRefusal, Treatment, RETURN_TIME_US};
 use home::{Load, Reason};
 use names::{AttemptId, BootId, Name, MILLISECOND};
 
-/// Guards against a second attempt that waits in a queue, goes to the same upstream, or isn't known to be a repeat.
+/// Guards against a hedged attempt that waits in a queue, goes to the same upstream, or isn't
+/// marked as a repeat.
 #[test]
-fn a_straggling_request_is_offered_once_more_to_another_upstream_without_queueing() {
-    let mut site = Site::new();
-    let (_, to, may_queue, repeat) = site.straggle().expect("a second attempt");
-    assert_ne!(to, site.first.1);
+fn straggler_is_hedged_once_at_another_upstream_without_queueing() {
+    let mut scenario = Scenario::new();
+    let (_, to, may_queue, repeat) = scenario.report_straggler().expect("a hedged attempt");
+    assert_ne!(to, scenario.first.1);
     assert!(!may_queue && repeat);
-    assert!(offer(&site.step(Event::Straggles(site.first.0))).is_none());
-    assert_eq!(site.call.take_hedge(), None);
+    assert!(find_offer(&scenario.step(Event::Straggles(scenario.first.0))).is_none());
+    assert_eq!(scenario.call.take_hedge(), None);
 }
 
-/// Guards against a second start of what may run only once, whatever a home node reports.
+/// Guards against a second run of a request that may not be repeated, whatever a home node reports.
 #[test]
-fn a_request_that_may_run_once_gets_no_second_attempt() {
-    let once = Treatment {
+fn non_repeatable_request_is_not_hedged() {
+    let non_repeatable = Treatment {
         repeatable: false,
         ..treatment()
     };
-    let mut site = Site::of(once, &NEAR, entry(3));
-    assert!(!site.call.may_hedge());
-    assert_eq!(site.straggle(), Err(HedgeRefusal::NotAllowed));
+    let mut scenario = Scenario::of(non_repeatable, &SAME_HALL, entry_with_repeats(3));
+    assert!(!scenario.call.may_hedge());
+    assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::NotAllowed));
 }
 
-/// Guards against more runs than the policy allows.
+/// Guards against more runs or arrivals than the treatment allows.
 #[test]
-fn a_request_whose_policy_allows_one_run_gets_no_second_attempt() {
+fn request_limited_to_one_run_or_arrival_is_not_hedged() {
     for (max_runs, max_arrivals) in [(1, 2), (2, 1)] {
         let few = Treatment {
             max_runs,
             max_arrivals,
             ..treatment()
         };
-        let mut site = Site::of(few, &NEAR, entry(3));
-        assert_eq!(site.straggle(), Err(HedgeRefusal::NotAllowed));
+        let mut scenario = Scenario::of(few, &SAME_HALL, entry_with_repeats(3));
+        assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::NotAllowed));
     }
 }
 
-/// Guards against risking a second upstream for a request that may end upstreams.
+/// Guards against risking a second upstream for a request that may be harmful.
 #[test]
-fn a_request_under_suspicion_gets_no_second_attempt() {
+fn suspect_is_not_hedged() {
     let three = Treatment {
         max_runs: 3,
         max_arrivals: 3,
         ..treatment()
     };
-    let mut site = Site::of(three, &NEAR, entry(3));
+    let mut scenario = Scenario::of(three, &SAME_HALL, entry_with_repeats(3));
     let order = vec![Name::from("b"), Name::from("c")];
-    let id = site.first.0;
-    let actions = site.step(Event::UpstreamTerminated { id, order });
-    let (id, to, ..) = offer(&actions).expect("it runs once more");
-    site.first = (id, to);
-    assert_eq!(site.straggle(), Err(HedgeRefusal::NotAllowed));
+    let id = scenario.first.0;
+    let actions = scenario.step(Event::UpstreamTerminated { id, order });
+    let (id, to, ..) = find_offer(&actions).expect("it runs once more");
+    scenario.first = (id, to);
+    assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::NotAllowed));
 }
 
-/// Guards against a second upstream for a request that came under suspicion while it ran: an upstream ended under a copy.
+/// Guards against a second upstream for a request that became a suspect while it ran, because an
+/// upstream terminated while running a copy of it.
 #[test]
-fn a_request_that_came_under_suspicion_while_it_ran_gets_no_second_attempt() {
-    let mut site = Site::of(treatment(), &NEAR, entry(3));
-    assert!(site.call.may_hedge());
-    site.call.forbid_hedge();
-    assert!(!site.call.may_hedge());
-    assert_eq!(site.straggle(), Err(HedgeRefusal::NotAllowed));
+fn request_that_becomes_a_suspect_while_running_is_not_hedged() {
+    let mut scenario = Scenario::of(treatment(), &SAME_HALL, entry_with_repeats(3));
+    assert!(scenario.call.may_hedge());
+    scenario.call.forbid_hedge();
+    assert!(!scenario.call.may_hedge());
+    assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::NotAllowed));
 }
 
-/// Guards against a second attempt that crosses to another hall, or goes where there is no free slot.
+/// Guards against a hedged attempt that crosses to another hall, or goes to an upstream without a
+/// free slot.
 #[test]
-fn a_second_attempt_goes_to_no_other_hall_and_to_no_full_leaving_or_suspected_upstream() {
-    let mut site = Site::of(treatment(), &["a", FAR], entry(1));
-    if site.first.1.as_str() == FAR {
-        // The first attempt is in the other hall: the upstream of the own hall may get the second.
-        site.report("a", full());
+fn hedge_avoids_other_halls_and_full_draining_or_unresponsive_upstreams() {
+    let mut scenario = Scenario::of(treatment(), &["a", OTHER_HALL], entry_with_repeats(1));
+    if scenario.first.1.as_str() == OTHER_HALL {
+        // The first attempt is in the other hall, so the upstream of the same hall could get the
+        // hedged one.
+        scenario.report("a", full_load());
     }
-    assert_eq!(site.straggle(), Err(HedgeRefusal::NoUpstream));
-    for harm in ["full", "leaving", "suspected"] {
-        let mut site = Site::new();
-        for vm in NEAR {
+    assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::NoUpstream));
+    for condition in ["full", "draining", "unresponsive"] {
+        let mut scenario = Scenario::new();
+        for vm in SAME_HALL {
             let name = Name::from(vm);
-            match harm {
-                "full" => site.report(vm, full()),
-                "leaving" => site.entry.set_draining(site.now, &name, true),
-                _ => site.entry.mark_unresponsive(site.now, &name),
+            match condition {
+                "full" => scenario.report(vm, full_load()),
+                "draining" => scenario.entry.set_draining(scenario.now, &name, true),
+                _ => scenario.entry.mark_unresponsive(scenario.now, &name),
             }
         }
-        assert_eq!(site.straggle(), Err(HedgeRefusal::NoUpstream), "{harm}");
+        assert_eq!(
+            scenario.report_straggler(),
+            Err(HedgeRefusal::NoUpstream),
+            "{condition}"
+        );
     }
 }
 
-/// Guards against second runs whose answer nobody waits for.
+/// Guards against second runs whose answer would arrive after the deadline.
 #[test]
-fn a_second_attempt_that_would_end_after_the_deadline_is_not_made() {
-    let mut site = Site::new();
-    site.now = START + DEADLINE_US - 20 * MILLISECOND;
-    for vm in NEAR {
+fn hedge_that_would_end_after_the_deadline_is_not_made() {
+    let mut scenario = Scenario::new();
+    scenario.now = START + DEADLINE_US - 20 * MILLISECOND;
+    for vm in SAME_HALL {
         let load = Load {
             in_flight: 0,
-            ..full()
+            ..full_load()
         };
-        site.report(vm, load);
+        scenario.report(vm, load);
     }
-    assert_eq!(site.straggle(), Err(HedgeRefusal::TooLate));
+    assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::TooLate));
 }
 
-/// What is decided `left_ms` before the deadline where the other upstreams report this service time.
-fn decided_with(service_us: u64, left_ms: u64) -> Result<(), HedgeRefusal> {
-    let mut site = Site::new();
-    site.now = START + DEADLINE_US - left_ms * MILLISECOND;
-    for vm in NEAR {
+/// The decision `remaining_ms` before the deadline if the other upstreams report this service time.
+fn decision_with(service_us: u64, remaining_ms: u64) -> Result<(), HedgeRefusal> {
+    let mut scenario = Scenario::new();
+    scenario.now = START + DEADLINE_US - remaining_ms * MILLISECOND;
+    for vm in SAME_HALL {
         let load = Load {
             in_flight: 0,
             service_us,
-            ..full()
+            ..full_load()
         };
-        site.report(vm, load);
+        scenario.report(vm, load);
     }
-    site.straggle().map(|_| ())
+    scenario.report_straggler().map(|_| ())
 }
 
-/// Guards against an expected time of nothing where an upstream has reported no service time.
+/// Guards against an expected run time of zero for an upstream that has reported no service time.
 #[test]
-fn a_service_time_of_zero_is_unknown_and_the_time_since_the_offer_counts() {
-    // 400 ms have passed and 200 ms are left.
-    assert_eq!(decided_with(0, 200), Err(HedgeRefusal::TooLate));
+fn service_time_of_zero_is_unknown_and_time_since_offer_is_used() {
+    // 400 ms have passed and 200 ms remain.
+    assert_eq!(decision_with(0, 200), Err(HedgeRefusal::TooLate));
 }
 
-/// Guards against an expected time that short requests of other classes have lowered: the mean at an upstream is one over
-/// all classes.
+/// Guards against an expected run time that is too low because of short requests of other classes:
+/// the service time of an upstream is a mean over all its classes.
 #[test]
-fn a_second_run_is_expected_to_take_at_least_half_of_the_time_since_the_offer() {
-    // 420 ms have passed: 210 ms are expected at least, beside the way back.
-    assert_eq!(decided_with(MILLISECOND, 180), Err(HedgeRefusal::TooLate));
-    assert_eq!(decided_with(MILLISECOND, 260), Ok(()));
-    // A reported time that is longer holds up to the time since the offer.
+fn expected_run_time_is_at_least_half_of_time_since_offer() {
+    // 420 ms have passed, so at least 210 ms are expected, plus the return time.
+    assert_eq!(decision_with(MILLISECOND, 180), Err(HedgeRefusal::TooLate));
+    assert_eq!(decision_with(MILLISECOND, 260), Ok(()));
+    // A longer reported time is used up to the time since the offer.
     assert_eq!(
-        decided_with(300 * MILLISECOND, 260),
+        decision_with(300 * MILLISECOND, 260),
         Err(HedgeRefusal::TooLate)
     );
-    assert_eq!(decided_with(900 * MILLISECOND, 400), Ok(()));
+    assert_eq!(decision_with(900 * MILLISECOND, 400), Ok(()));
 }
 
 /// Guards against a second answer that arrives just after the deadline.
 #[test]
-fn the_way_back_is_taken_off_the_time_that_is_left() {
-    // 400 ms have passed: 200 ms are expected, and exactly as much is left without the way back.
-    let way_ms = RETURN_TIME_US / MILLISECOND;
-    assert_eq!(decided_with(1, 201), Err(HedgeRefusal::TooLate));
-    assert_eq!(decided_with(1, 200 + way_ms), Ok(()));
+fn return_time_is_subtracted_from_remaining_time() {
+    // 400 ms have passed, so 200 ms are expected, and exactly as much remains without the return
+    // time.
+    let return_ms = RETURN_TIME_US / MILLISECOND;
+    assert_eq!(decision_with(1, 201), Err(HedgeRefusal::TooLate));
+    assert_eq!(decision_with(1, 200 + return_ms), Ok(()));
 }
 
-/// Guards against second attempts beyond the fleet's bound on repeats.
+/// Guards against hedged attempts beyond the fleet's bound on repeats.
 #[test]
-fn without_a_repeat_in_the_budget_no_second_attempt_is_made() {
-    let mut site = Site::of(treatment(), &NEAR, entry(0));
-    assert_eq!(site.straggle(), Err(HedgeRefusal::BudgetExhausted));
-    let mut site = Site::new();
-    assert!(site.straggle().is_ok());
-    assert!(!site.has_budget());
+fn no_hedge_without_a_repeat_in_the_budget() {
+    let mut scenario = Scenario::of(treatment(), &SAME_HALL, entry_with_repeats(0));
+    assert_eq!(
+        scenario.report_straggler(),
+        Err(HedgeRefusal::BudgetExhausted)
+    );
+    let mut scenario = Scenario::new();
+    assert!(scenario.report_straggler().is_ok());
+    assert!(!scenario.has_budget());
 }
 
-/// Guards against reports of stragglers in the durations of offers: only an outcome ends an offer.
+/// Guards against straggler reports that are counted as the end of an offer in the metric of offer
+/// durations.
 #[test]
-fn a_straggler_is_a_report_and_every_reply_that_ends_an_attempt_is_none() {
+fn straggler_event_is_a_report_and_results_are_not() {
     let id = AttemptId {
         boot: BootId(1),
         seq: 1,
     };
     assert!(Event::<u64>::Straggles(id).is_report());
     let ends = [
-        answered(id, 1),
-        failed(id, 1),
+        good_answer(id, 1),
+        error_answer(id, 1),
         Event::Refused(id, refusal(Reason::Busy)),
         Event::Revoked(id),
         Event::Broken(id),
--- a/components/entry/tests/hedge/main.rs
+++ b/components/entry/tests/hedge/main.rs
@@ -1,4 +1,5 @@
-//! Second attempts beside straggling ones: when they are made, which of two answers counts, and what they cost.
+//! Hedged attempts for stragglers: when they are made, which of two answers is used, and what they
+//! cost.
 
 mod conditions;
 mod outcomes;
--- a/components/entry/tests/hedge/shortage.rs
+++ b/components/entry/tests/hedge/shortage.rs
@@ -1,141 +1,148 @@
-//! Services that are short of slots get no second attempts.
+//! Services that are short of slots get no hedged attempts.
 
 use crate::site::{
-    call_of, entry, full, offer, refusal, treatment, Site, NEAR, OBJECTIVE_US, START,
+    entry_with_repeats, find_offer, full_load, new_call, refusal, treatment, Scenario,
+    OBJECTIVE_US, SAME_HALL, START,
 };
 use entry::{Call, Entry, Event, HedgeRefusal};
 use home::Reason;
 use names::{AttemptId, Name, MILLISECOND, SECOND};
 
-/// Offers another request until an offer may queue; returns that call and the offer.
-fn queueing(site: &mut Site) -> (Call<u64>, AttemptId) {
-    let mut other = call_of(treatment(), &NEAR);
-    let mut actions = other.step(START, Event::Begin, &mut site.entry);
+/// Offers another request until an offer may queue. Returns that call and the attempt.
+fn offer_that_may_queue(scenario: &mut Scenario) -> (Call<u64>, AttemptId) {
+    let mut other = new_call(treatment(), &SAME_HALL);
+    let mut actions = other.step(START, Event::Begin, &mut scenario.entry);
     loop {
-        let (id, _, may_queue, _) = offer(&actions).expect("an offer");
+        let (id, _, may_queue, _) = find_offer(&actions).expect("an offer");
         if may_queue {
             return (other, id);
         }
         let busy = Event::Refused(id, refusal(Reason::Busy));
-        actions = other.step(START, busy, &mut site.entry);
+        actions = other.step(START, busy, &mut scenario.entry);
     }
 }
 
-/// Checks that no second attempt is made within one objective of a refusal at the start, and that one is made then.
-fn assert_short_for_one_objective(mut site: Site) {
-    site.now = START + OBJECTIVE_US;
-    assert_eq!(site.straggle(), Err(HedgeRefusal::ShortOfSlots));
-    site.now = START + OBJECTIVE_US + 1;
-    assert!(site.straggle().is_ok());
+/// Checks that no hedge is made within one objective after a refusal at the start, and that one is
+/// made after that.
+fn assert_short_for_one_objective(mut scenario: Scenario) {
+    scenario.now = START + OBJECTIVE_US;
+    assert_eq!(scenario.report_straggler(), Err(HedgeRefusal::ShortOfSlots));
+    scenario.now = START + OBJECTIVE_US + 1;
+    assert!(scenario.report_straggler().is_ok());
 }
 
-/// The load: a service is short of slots and refuses as busy. Guards against second attempts that take slots from
-/// requests that have had none.
+/// Guards against hedged attempts that take slots from requests that have not had one yet, while
+/// the service is short of slots and refuses offers as busy.
 #[test]
-fn while_the_service_is_short_of_slots_no_second_attempt_is_made() {
-    let mut site = Site::new();
-    let (mut other, id) = queueing(&mut site);
+fn no_hedge_while_service_is_short_of_slots() {
+    let mut scenario = Scenario::new();
+    let (mut other, id) = offer_that_may_queue(&mut scenario);
     let busy = Event::Refused(id, refusal(Reason::Busy));
-    other.step(START, busy, &mut site.entry);
-    assert_short_for_one_objective(site);
+    other.step(START, busy, &mut scenario.entry);
+    assert_short_for_one_objective(scenario);
 }
 
-/// Guards against a service that counts as short whenever one upstream has no free slot: offers that may not queue are
-/// refused then as a matter of course.
+/// Guards against a service that counts as short of slots whenever one upstream has no free slot:
+/// offers that may not queue are refused routinely.
 #[test]
-fn a_refusal_of_an_offer_that_may_not_queue_does_not_keep_second_attempts_away() {
-    let mut site = Site::new();
-    // Offers that may not queue are refused on the way to one that may.
-    let (other, _) = queueing(&mut site);
+fn refusal_of_offer_that_may_not_queue_does_not_prevent_hedges() {
+    let mut scenario = Scenario::new();
+    // Two offers that may not queue are refused before one that may.
+    let (other, _) = offer_that_may_queue(&mut scenario);
     assert_eq!(other.offers(), 3);
-    assert!(site.straggle().is_ok());
+    assert!(scenario.report_straggler().is_ok());
 }
 
-/// Guards against second attempts that keep others away because they were refused themselves, beside the first attempt or
-/// after it failed.
+/// Guards against a refused hedged attempt that prevents later ones, whether the first attempt
+/// still runs or has failed.
 #[test]
-fn the_refusal_of_a_second_attempt_does_not_keep_others_away() {
+fn refusal_of_a_hedge_does_not_prevent_other_hedges() {
     for first_fails in [false, true] {
-        let mut entry = entry(3);
-        let (mut call, first) = call_that_may_queue(&mut entry);
+        let mut entry = entry_with_repeats(3);
+        let (mut call, first) = call_whose_offer_may_queue(&mut entry);
         let now = START + 60 * MILLISECOND;
         let actions = call.step(now, Event::Straggles(first), &mut entry);
-        let (second, ..) = offer(&actions).expect("a second attempt");
+        let (hedged, ..) = find_offer(&actions).expect("a hedged attempt");
         if first_fails {
             call.step(now, Event::Broken(first), &mut entry);
         }
-        let busy = Event::Refused(second, refusal(Reason::Busy));
+        let busy = Event::Refused(hedged, refusal(Reason::Busy));
         call.step(now, busy, &mut entry);
-        let mut site = Site::of(treatment(), &NEAR, entry);
-        assert!(site.straggle().is_ok(), "first fails: {first_fails}");
+        let mut scenario = Scenario::of(treatment(), &SAME_HALL, entry);
+        assert!(
+            scenario.report_straggler().is_ok(),
+            "first fails: {first_fails}"
+        );
     }
 }
 
-/// A call whose current offer may queue, since fresh reports said that all upstreams were full.
-fn call_that_may_queue(entry: &mut Entry) -> (Call<u64>, AttemptId) {
-    for vm in NEAR {
-        entry.on_report(START, &Name::from(vm), full());
+/// A call whose current offer may queue, because recent reports say that all upstreams are full.
+fn call_whose_offer_may_queue(entry: &mut Entry) -> (Call<u64>, AttemptId) {
+    for vm in SAME_HALL {
+        entry.on_report(START, &Name::from(vm), full_load());
     }
-    let mut call = call_of(treatment(), &NEAR);
+    let mut call = new_call(treatment(), &SAME_HALL);
     let actions = call.step(START, Event::Begin, entry);
-    let (id, _, may_queue, _) = offer(&actions).expect("an offer");
+    let (id, _, may_queue, _) = find_offer(&actions).expect("an offer");
     assert!(may_queue);
     (call, id)
 }
 
-/// Guards against a shortage that goes unnoticed because callers give up before the refusals of their requests arrive.
+/// Guards against a shortage that is not detected because calls end before the refusals of their
+/// attempts arrive.
 #[test]
-fn a_refusal_that_arrives_after_its_call_has_left_the_attempt_counts_once() {
-    let leaves: [fn(AttemptId) -> Event<u64>; 3] = [
+fn refusal_of_an_abandoned_attempt_counts_once() {
+    let abandonments: [fn(AttemptId) -> Event<u64>; 3] = [
         |_| Event::CallerDisconnected,
         |_| Event::Expired,
         Event::NodeUnresponsive,
     ];
-    for leave in leaves {
-        let mut site = Site::of(treatment(), &NEAR, entry(3));
-        let (mut other, id) = queueing(&mut site);
-        other.step(START, leave(id), &mut site.entry);
-        assert!(site
+    for abandon in abandonments {
+        let mut scenario = Scenario::of(treatment(), &SAME_HALL, entry_with_repeats(3));
+        let (mut other, id) = offer_that_may_queue(&mut scenario);
+        other.step(START, abandon(id), &mut scenario.entry);
+        assert!(scenario
             .entry
             .on_late_refusal(START, id, &refusal(Reason::Busy)));
         let later = START + SECOND;
-        assert!(!site
+        assert!(!scenario
             .entry
             .on_late_refusal(later, id, &refusal(Reason::Busy)));
-        // A suspicion against the silent node has no part in this.
-        trust_all(&mut site);
-        assert_short_for_one_objective(site);
-        // The event may also reach the call itself.
-        let mut site = Site::of(treatment(), &NEAR, entry(3));
-        let (mut other, id) = queueing(&mut site);
-        other.step(START, leave(id), &mut site.entry);
+        // The unresponsive node must not affect the result.
+        mark_all_responsive(&mut scenario);
+        assert_short_for_one_objective(scenario);
+        // The refusal may also reach the call itself.
+        let mut scenario = Scenario::of(treatment(), &SAME_HALL, entry_with_repeats(3));
+        let (mut other, id) = offer_that_may_queue(&mut scenario);
+        other.step(START, abandon(id), &mut scenario.entry);
         let busy = Event::Refused(id, refusal(Reason::Busy));
-        other.step(START, busy, &mut site.entry);
-        trust_all(&mut site);
-        assert_short_for_one_objective(site);
+        other.step(START, busy, &mut scenario.entry);
+        mark_all_responsive(&mut scenario);
+        assert_short_for_one_objective(scenario);
     }
 }
 
-/// Ends all suspicion against nodes.
-fn trust_all(site: &mut Site) {
-    for vm in NEAR {
-        site.entry.mark_responsive(&Name::from(vm));
+/// Marks all nodes as responsive.
+fn mark_all_responsive(scenario: &mut Scenario) {
+    for vm in SAME_HALL {
+        scenario.entry.mark_responsive(&Name::from(vm));
     }
 }
 
-/// Guards against late refusals that say nothing of slots, and offers that might not queue, being taken for a shortage.
+/// Guards against a shortage inferred from late refusals for other reasons, or of offers that could
+/// not queue.
 #[test]
-fn only_a_late_refusal_as_busy_of_an_offer_that_might_queue_counts() {
-    let mut site = Site::new();
-    let (mut other, id) = queueing(&mut site);
-    other.step(START, Event::CallerDisconnected, &mut site.entry);
-    let entry = &mut site.entry;
+fn only_late_busy_refusal_of_offer_that_may_queue_counts() {
+    let mut scenario = Scenario::new();
+    let (mut other, id) = offer_that_may_queue(&mut scenario);
+    other.step(START, Event::CallerDisconnected, &mut scenario.entry);
+    let entry = &mut scenario.entry;
     assert!(!entry.on_late_refusal(START, id, &refusal(Reason::Leaving)));
-    let mut other = call_of(treatment(), &NEAR);
+    let mut other = new_call(treatment(), &SAME_HALL);
     let actions = other.step(START, Event::Begin, entry);
-    let (id, _, may_queue, _) = offer(&actions).expect("an offer");
+    let (id, _, may_queue, _) = find_offer(&actions).expect("an offer");
     assert!(!may_queue);
     other.step(START, Event::CallerDisconnected, entry);
     assert!(!entry.on_late_refusal(START, id, &refusal(Reason::Busy)));
-    assert!(site.straggle().is_ok());
+    assert!(scenario.report_straggler().is_ok());
 }
--- a/components/entry/tests/hedge/site.rs
+++ b/components/entry/tests/hedge/site.rs
@@ -1,4 +1,4 @@
-//! A call on its way, with its clock and what its node knows.
+//! A call with its first attempt in flight, its clock, and the state of its entry duty.
 
 use entry::{
     Action, Call, Candidate, Entry, Event, HedgeDecision, HedgeRefusal, Origin, Outcome, Price,
@@ -10,8 +10,8 @@
 pub const START: Moment = Moment(10 * SECOND);
 pub const OBJECTIVE_US: u64 = 200 * MILLISECOND;
 pub const DEADLINE_US: u64 = 600 * MILLISECOND;
-pub const NEAR: [&str; 3] = ["a", "b", "c"];
-pub const FAR: &str = "far";
+pub const SAME_HALL: [&str; 3] = ["a", "b", "c"];
+pub const OTHER_HALL: &str = "far";
 
 pub fn treatment() -> Treatment {
     Treatment {
@@ -23,10 +23,10 @@
     }
 }
 
-pub fn call_of(treatment: Treatment, vms: &[&str]) -> Call<u64> {
+pub fn new_call(treatment: Treatment, vms: &[&str]) -> Call<u64> {
     let candidates = vms.iter().map(|vm| Candidate {
         vm: Name::from(*vm),
-        same_hall: *vm != FAR,
+        same_hall: *vm != OTHER_HALL,
         local: false,
     });
     let deadline = START + DEADLINE_US;
@@ -37,29 +37,29 @@
     ))
 }
 
-/// An entry duty whose service has earned `repeats`.
-pub fn entry(repeats: u32) -> Entry {
+/// An entry duty with `repeats` in the retry budget of its service.
+pub fn entry_with_repeats(repeats: u32) -> Entry {
     let mut entry = Entry::new(BootId(1), SelectionRule::Expected, 3);
     for _ in 0..repeats * 10 {
-        let mut call = call_of(treatment(), &NEAR);
+        let mut call = new_call(treatment(), &SAME_HALL);
         call.step(Moment(1), Event::Begin, &mut entry);
         call.step(Moment(1), Event::CallerDisconnected, &mut entry);
     }
     entry
 }
 
-/// A call on its way, with its clock.
-pub struct Site {
+/// A call with its first attempt in flight, and its clock.
+pub struct Scenario {
     pub entry: Entry,
     pub call: Call<u64>,
     pub now: Moment,
     pub first: (AttemptId, Name),
 }
 
-/// An offer: the attempt, where it goes, whether it may queue, whether it is a repeat.
+/// An offer: the attempt, its VM, whether it may queue, whether it is a repeat.
 pub type Offered = (AttemptId, Name, bool, bool);
 
-pub fn offer(actions: &[Action<u64>]) -> Option<Offered> {
+pub fn find_offer(actions: &[Action<u64>]) -> Option<Offered> {
     actions.iter().find_map(|action| match action {
         Action::Offer {
             id,
@@ -72,14 +72,14 @@
     })
 }
 
-pub fn outcome(actions: &[Action<u64>]) -> Option<Outcome<u64>> {
+pub fn find_outcome(actions: &[Action<u64>]) -> Option<Outcome<u64>> {
     actions.iter().find_map(|action| match action {
         Action::Finish(outcome) => Some(outcome.clone()),
         _ => None,
     })
 }
 
-pub fn cancels(actions: &[Action<u64>]) -> Vec<AttemptId> {
+pub fn cancelled_attempts(actions: &[Action<u64>]) -> Vec<AttemptId> {
     let cancelled = |action: &Action<u64>| match action {
         Action::Cancel { id, .. } => Some(*id),
         _ => None,
@@ -94,22 +94,22 @@
     }
 }
 
-pub fn answered(id: AttemptId, answer: u64) -> Event<u64> {
+pub fn good_answer(id: AttemptId, answer: u64) -> Event<u64> {
     let error = false;
     Event::Answered { id, answer, error }
 }
 
-pub fn failed(id: AttemptId, answer: u64) -> Event<u64> {
+pub fn error_answer(id: AttemptId, answer: u64) -> Event<u64> {
     let error = true;
     Event::Answered { id, answer, error }
 }
 
-impl Site {
-    pub fn of(treatment: Treatment, vms: &[&str], mut entry: Entry) -> Site {
-        let mut call = call_of(treatment, vms);
+impl Scenario {
+    pub fn of(treatment: Treatment, vms: &[&str], mut entry: Entry) -> Scenario {
+        let mut call = new_call(treatment, vms);
         let actions = call.step(START, Event::Begin, &mut entry);
-        let (id, to, ..) = offer(&actions).expect("the first offer");
-        Site {
+        let (id, to, ..) = find_offer(&actions).expect("the first offer");
+        Scenario {
             entry,
             call,
             now: START + 60 * MILLISECOND,
@@ -117,32 +117,32 @@
         }
     }
 
-    pub fn new() -> Site {
-        Site::of(treatment(), &NEAR, entry(1))
+    pub fn new() -> Scenario {
+        Scenario::of(treatment(), &SAME_HALL, entry_with_repeats(1))
     }
 
     pub fn step(&mut self, event: Event<u64>) -> Vec<Action<u64>> {
         self.call.step(self.now, event, &mut self.entry)
     }
 
-    /// The first attempt straggles.
-    pub fn straggle(&mut self) -> Result<Offered, HedgeRefusal> {
+    /// Reports the first attempt as a straggler. Returns the hedged offer, or why none was made.
+    pub fn report_straggler(&mut self) -> Result<Offered, HedgeRefusal> {
         let actions = self.step(Event::Straggles(self.first.0));
-        let hedge = self.call.take_hedge().expect("something is decided");
-        match (offer(&actions), hedge.decision) {
+        let hedge = self.call.take_hedge().expect("a decision");
+        match (find_offer(&actions), hedge.decision) {
             (Some(offer), HedgeDecision::Made) => Ok(offer),
             (None, HedgeDecision::Refused(refusal)) => Err(refusal),
             other => panic!("{other:?}"),
         }
     }
 
-    /// The first and the second attempt.
-    pub fn hedged(&mut self) -> (AttemptId, AttemptId) {
-        let (second, ..) = self.straggle().expect("a second attempt");
-        (self.first.0, second)
+    /// Makes a hedged attempt. Returns the first and the hedged attempt.
+    pub fn make_hedge(&mut self) -> (AttemptId, AttemptId) {
+        let (hedged, ..) = self.report_straggler().expect("a hedged attempt");
+        (self.first.0, hedged)
     }
 
-    pub fn decision(&mut self) -> Option<HedgeDecision> {
+    pub fn take_decision(&mut self) -> Option<HedgeDecision> {
         self.call.take_hedge().map(|hedge| hedge.decision)
     }
 
@@ -150,46 +150,46 @@
         self.entry.on_report(self.now, &Name::from(vm), load);
     }
 
-    /// Whether the service's budget has room for one repeat.
+    /// Whether the service's retry budget has a repeat left.
     pub fn has_budget(&mut self) -> bool {
-        let once = Treatment {
+        let non_repeatable = Treatment {
             repeatable: false,
             origin: Origin::Upstream,
             ..treatment()
         };
-        let mut probe = call_of(once, &NEAR);
-        let actions = probe.step(self.now, Event::Begin, &mut self.entry);
-        let (id, ..) = offer(&actions).expect("an offer");
+        let mut test_call = new_call(non_repeatable, &SAME_HALL);
+        let actions = test_call.step(self.now, Event::Begin, &mut self.entry);
+        let (id, ..) = find_offer(&actions).expect("an offer");
         let shed = Event::Refused(id, refusal(Reason::Shed));
-        let actions = probe.step(self.now, shed, &mut self.entry);
-        let has = offer(&actions).is_some();
-        if let Some((id, ..)) = offer(&actions) {
-            // Gives the repeat back.
+        let actions = test_call.step(self.now, shed, &mut self.entry);
+        let has_repeat = find_offer(&actions).is_some();
+        if let Some((id, ..)) = find_offer(&actions) {
+            // Refunds the repeat.
             let late = Event::Refused(id, refusal(Reason::Deadline));
-            probe.step(self.now, late, &mut self.entry);
+            test_call.step(self.now, late, &mut self.entry);
         }
-        has
+        has_repeat
     }
 
-    /// Spends the repeats in the service's budget and returns their number.
-    pub fn drain_budget(&mut self) -> u32 {
+    /// Spends all repeats in the service's retry budget and returns their number.
+    pub fn spend_budget(&mut self) -> u32 {
         self.now = START;
-        for vm in NEAR {
+        for vm in SAME_HALL {
             self.entry.set_draining(START, &Name::from(vm), false);
             self.entry.mark_responsive(&Name::from(vm));
         }
-        let once = Treatment {
+        let non_repeatable = Treatment {
             repeatable: false,
             origin: Origin::Upstream,
             ..treatment()
         };
         let mut repeats = 0;
         loop {
-            let mut probe = call_of(once.clone(), &NEAR);
-            let actions = probe.step(self.now, Event::Begin, &mut self.entry);
-            let (id, ..) = offer(&actions).expect("an offer");
+            let mut test_call = new_call(non_repeatable.clone(), &SAME_HALL);
+            let actions = test_call.step(self.now, Event::Begin, &mut self.entry);
+            let (id, ..) = find_offer(&actions).expect("an offer");
             let shed = Event::Refused(id, refusal(Reason::Shed));
-            if offer(&probe.step(self.now, shed, &mut self.entry)).is_none() {
+            if find_offer(&test_call.step(self.now, shed, &mut self.entry)).is_none() {
                 return repeats;
             }
             repeats += 1;
@@ -197,13 +197,13 @@
     }
 
     pub fn outstanding(&self) -> u32 {
-        let vms = NEAR.iter().chain([&FAR]);
+        let vms = SAME_HALL.iter().chain([&OTHER_HALL]);
         vms.map(|vm| self.entry.view(&Name::from(*vm)).outstanding)
             .sum()
     }
 }
 
-pub fn full() -> Load {
+pub fn full_load() -> Load {
     Load {
         in_flight: 6,
         limit: 6,
--- a/components/entry/tests/hedge/walks.rs
+++ b/components/entry/tests/hedge/walks.rs
@@ -1,14 +1,15 @@
 //! Random sequences of events.
 
 use crate::site::{
-    answered, cancels, entry, failed, offer, outcome, refusal, treatment, Site, NEAR,
+    cancelled_attempts, entry_with_repeats, error_answer, find_offer, find_outcome, good_answer,
+    refusal, treatment, Scenario, SAME_HALL,
 };
 use entry::{Action, Event, Outcome, Treatment};
 use home::{Reason, Suspicion};
 use names::{AttemptId, Name, MILLISECOND};
 use proptest::prelude::*;
 
-/// What happens to a call next; numbers pick among the attempts by remainder.
+/// Next event of a call. Indexes of attempts are taken modulo their number.
 #[derive(Debug, Clone)]
 enum Step {
     Straggles(usize),
@@ -16,13 +17,13 @@
     Refused(usize, Reason),
     Revoked(usize),
     Broken(usize),
-    Lost(usize),
-    Silent(usize),
+    ConnectionLost(usize),
+    NodeUnresponsive(usize),
     NotSent(usize),
-    Ended(usize, bool),
+    UpstreamTerminated(usize, bool),
     Wait(u64),
     Expired,
-    HungUp,
+    CallerDisconnected,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -39,13 +40,13 @@
         2 => (pick(), reason).prop_map(|(pick, reason)| Step::Refused(pick, reason)),
         1 => pick().prop_map(Step::Revoked),
         1 => pick().prop_map(Step::Broken),
-        1 => pick().prop_map(Step::Lost),
-        1 => pick().prop_map(Step::Silent),
+        1 => pick().prop_map(Step::ConnectionLost),
+        1 => pick().prop_map(Step::NodeUnresponsive),
         1 => pick().prop_map(Step::NotSent),
-        1 => (pick(), any::<bool>()).prop_map(|(pick, held)| Step::Ended(pick, held)),
+        1 => (pick(), any::<bool>()).prop_map(|(pick, quarantined)| Step::UpstreamTerminated(pick, quarantined)),
         2 => (1..300u64).prop_map(Step::Wait),
         1 => Just(Step::Expired),
-        1 => Just(Step::HungUp),
+        1 => Just(Step::CallerDisconnected),
     ]
 }
 
@@ -53,16 +54,20 @@
     let id = |pick: &usize| ids[pick % ids.len()];
     Some(match step {
         Step::Straggles(pick) => Event::Straggles(id(pick)),
-        Step::Answered(pick, true) => failed(id(pick), 1),
-        Step::Answered(pick, false) => answered(id(pick), 1),
+        Step::Answered(pick, true) => error_answer(id(pick), 1),
+        Step::Answered(pick, false) => good_answer(id(pick), 1),
         Step::Refused(pick, reason) => Event::Refused(id(pick), refusal(*reason)),
         Step::Revoked(pick) => Event::Revoked(id(pick)),
         Step::Broken(pick) => Event::Broken(id(pick)),
-        Step::Lost(pick) => Event::ConnectionLost(id(pick)),
-        Step::Silent(pick) => Event::NodeUnresponsive(id(pick)),
+        Step::ConnectionLost(pick) => Event::ConnectionLost(id(pick)),
+        Step::NodeUnresponsive(pick) => Event::NodeUnresponsive(id(pick)),
         Step::NotSent(pick) => Event::NotSent(id(pick)),
-        Step::Ended(pick, held) => {
-            let order = if *held { &[][..] } else { &NEAR[..] };
+        Step::UpstreamTerminated(pick, quarantined) => {
+            let order = if *quarantined {
+                &[][..]
+            } else {
+                &SAME_HALL[..]
+            };
             let order = order.iter().map(|vm| Name::from(*vm)).collect();
             Event::UpstreamTerminated {
                 id: id(pick),
@@ -70,23 +75,23 @@
             }
         }
         Step::Expired => Event::Expired,
-        Step::HungUp => Event::CallerDisconnected,
+        Step::CallerDisconnected => Event::CallerDisconnected,
         Step::Wait(_) => return None,
     })
 }
 
-/// What becomes of a request that is seen from outside.
+/// What has happened to a request, as observed from outside the call.
 #[derive(Debug, Default)]
-struct Seen {
-    /// Attempts that an upstream may have seen.
+struct Observed {
+    /// Number of attempts that an upstream may have received.
     arrivals: u32,
     may_have_run: bool,
     has_answer: bool,
 }
 
-impl Seen {
-    /// Takes in how an attempt that was open has ended.
-    fn ended(&mut self, event: &Event<u64>) {
+impl Observed {
+    /// Records how an open attempt has ended.
+    fn attempt_ended(&mut self, event: &Event<u64>) {
         let not_run = match event {
             Event::NotSent(_) | Event::Revoked(_) => return,
             Event::Refused(_, refusal) if refusal.reason != Reason::Shed => return,
@@ -98,7 +103,7 @@
         self.has_answer |= matches!(event, Event::Answered { .. });
     }
 
-    /// Whether an outcome is true.
+    /// Whether an outcome is consistent with the observations.
     fn allows(&self, outcome: &Outcome<u64>) -> bool {
         match outcome {
             Outcome::Answered(_) => self.has_answer,
@@ -108,8 +113,8 @@
     }
 }
 
-/// Repeats that the service has earned at the start.
-const EARNED: u32 = 3;
+/// Repeats in the retry budget at the start.
+const INITIAL_REPEATS: u32 = 3;
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -119,59 +124,59 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against attempts that nobody knows of any more, a second copy of what may run once or is under suspicion,
-    /// more than two at a time, an untrue outcome, a repeat that was not paid for, and one that was paid for and lost though
-    /// it reached no upstream.
+    /// Guards against attempts that are neither ended nor cancelled, hedges of non-repeatable
+    /// requests and suspects, more than two attempts at a time, a false outcome, a repeat that was
+    /// not charged, and a repeat that was charged and not refunded although it reached no upstream.
     #[test]
-    fn whatever_comes_at_most_two_attempts_are_at_work_the_outcome_is_true_and_repeats_are_paid_for(
+    fn at_most_two_attempts_are_in_flight_outcomes_are_true_and_repeats_are_charged(
         steps in prop::collection::vec(step(), 1..25),
         repeatable in any::<bool>(),
         max_runs in 1..4u32,
     ) {
         let treatment = Treatment { repeatable, max_runs, max_arrivals: max_runs.max(2), ..treatment() };
-        let mut site = Site::of(treatment, &NEAR, entry(EARNED));
-        let mut ids = vec![site.first.0];
+        let mut scenario = Scenario::of(treatment, &SAME_HALL, entry_with_repeats(INITIAL_REPEATS));
+        let mut ids = vec![scenario.first.0];
         let mut open = ids.clone();
-        let mut seen = Seen::default();
-        for step in steps.into_iter().chain([Step::HungUp]) {
+        let mut observed = Observed::default();
+        for step in steps.into_iter().chain([Step::CallerDisconnected]) {
             if let Step::Wait(ms) = step {
-                site.now = site.now + ms * MILLISECOND;
+                scenario.now = scenario.now + ms * MILLISECOND;
             }
             let Some(event) = event(&step, &ids) else {
                 continue;
             };
-            let was_done = site.call.is_done();
+            let was_done = scenario.call.is_done();
             let straggles = matches!(event, Event::Straggles(_));
             let ended = match &event {
                 Event::Straggles(_) | Event::Expired | Event::CallerDisconnected => None,
-                Event::NodeUnresponsive(_) if !site.call.may_hedge() && site.outstanding() == 1 => None,
+                Event::NodeUnresponsive(_) if !scenario.call.may_hedge() && scenario.outstanding() == 1 => None,
                 Event::Answered { id, .. } | Event::UpstreamTerminated { id, .. } | Event::Refused(id, _) => Some(*id),
                 Event::Revoked(id) | Event::Broken(id) | Event::ConnectionLost(id) | Event::NotSent(id) => Some(*id),
                 _ => None,
             };
             let was_open = |id: &AttemptId| open.contains(id);
             let closes = ended.filter(was_open);
-            let actions = site.step(event.clone());
+            let actions = scenario.step(event.clone());
             prop_assert!(!was_done || actions.is_empty());
-            // A request that may not be repeated is asked after before it is given up.
-            let asks = actions.iter().any(|action| matches!(action, Action::Query { .. }));
-            if !asks {
+            // A request that may not be repeated is queried before its call ends.
+            let queries = actions.iter().any(|action| matches!(action, Action::Query { .. }));
+            if !queries {
                 if closes.is_some() {
-                    seen.ended(&event);
+                    observed.attempt_ended(&event);
                 }
                 open.retain(|id| Some(*id) != ended);
             }
-            for id in cancels(&actions) {
+            for id in cancelled_attempts(&actions) {
                 prop_assert!(open.contains(&id));
-                seen.arrivals += 1;
-                seen.may_have_run = true;
+                observed.arrivals += 1;
+                observed.may_have_run = true;
                 open.retain(|other| *other != id);
             }
-            if let Some(outcome) = outcome(&actions) {
-                prop_assert!(seen.allows(&outcome), "{:?} after {:?}", outcome, seen);
+            if let Some(outcome) = find_outcome(&actions) {
+                prop_assert!(observed.allows(&outcome), "{:?} after {:?}", outcome, observed);
             }
-            if let Some((id, ..)) = offer(&actions) {
-                prop_assert!(repeatable || !straggles, "a second copy of what may run once");
+            if let Some((id, ..)) = find_offer(&actions) {
+                prop_assert!(repeatable || !straggles, "a second copy of a request that may not be repeated");
                 ids.push(id);
                 open.push(id);
             }
@@ -181,13 +186,13 @@
                 prop_assert!(!straggles || *suspicion == Suspicion::None);
             }
             prop_assert!(open.len() <= if repeatable { 2 } else { 1 }, "{:?}", open);
-            prop_assert_eq!(site.outstanding() as usize, open.len());
-            if site.call.is_done() {
+            prop_assert_eq!(scenario.outstanding() as usize, open.len());
+            if scenario.call.is_done() {
                 prop_assert!(open.is_empty(), "{:?} were forgotten", open);
             }
         }
-        // A second attempt stays paid for where the first has reached no upstream.
-        let spent = EARNED - site.drain_budget();
-        prop_assert!(spent <= seen.arrivals && spent + 1 >= seen.arrivals, "{} for {:?}", spent, seen);
+        // The repeat of a hedged attempt is not refunded if the first attempt reached no upstream.
+        let spent = INITIAL_REPEATS - scenario.spend_budget();
+        prop_assert!(spent <= observed.arrivals && spent + 1 >= observed.arrivals, "{} for {:?}", spent, observed);
     }
 }
