--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -65,7 +65,7 @@
     ConnectionLost(AttemptId),
     /// The home duty replied to a query about the attempt.
     QueryReplied(AttemptId, QueryReply<A>),
-    /// The node run with the attempt no longer exists or can't be reached.
+    /// The home duty that has the attempt no longer exists or can't be reached.
     NodeGone(AttemptId),
     /// The home node does not reply to heartbeats.
     NodeUnresponsive(AttemptId),
