--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -265,7 +265,7 @@
             Reason::KeyUsed => return self.finish(Outcome::Unknown(Reason::KeyUsed), entry),
             Reason::Quarantined => return self.give_up(Reason::Quarantined, entry),
             Reason::Shed => return self.shed(now, vm, entry),
-            Reason::Busy if self.suspect.is_some() => self.suspect_was_busy(vm),
+            Reason::Busy if self.suspect.is_some() => self.on_suspect_busy(vm),
             Reason::Busy if !self.offer_may_queue => self.refused_by.push(vm),
             Reason::Leaving => {
                 entry.set_draining(now, &vm, true);
--- a/components/entry/src/call/offers.rs
+++ b/components/entry/src/call/offers.rs
@@ -71,7 +71,7 @@
     }
 
     /// Moves a suspect on to the next VM in its order after a refusal for lack of capacity.
-    pub(super) fn suspect_was_busy(&mut self, vm: Name) {
+    pub(super) fn on_suspect_busy(&mut self, vm: Name) {
         if let Some(suspect) = &mut self.suspect {
             suspect.on_busy(vm, self.suspicion);
         }
