--- a/components/entry/src/call.rs
+++ b/components/entry/src/call.rs
@@ -21,7 +21,7 @@
 /// Retry-after time for callers when no home duty has sent one, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 /// Retry-after time when every upstream is known to be full, in milliseconds: about the run time of
-/// one request in the deployments.
+/// one request in deployments.
 const BUSY_RETRY_AFTER_MS: u64 = 100;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/components/entry/src/call/offers.rs
+++ b/components/entry/src/call/offers.rs
@@ -11,7 +11,8 @@
 const IMMEDIATE_OFFERS: u32 = 2;
 /// The same under [`SelectionRule::Priced`], to upstreams of the same hall. At peak load, a third
 /// of them is in a slow phase and a third is full, and a refusal costs a fraction of a millisecond.
-/// Compared with 3 such offers, 5 add 0.02 to 0.04 of the value of the requests on large sites.
+/// Compared with 3 such offers, this adds 0.02 to 0.04 of the value of the requests in larger
+/// deployments.
 const IMMEDIATE_SAME_HALL_OFFERS: u32 = 5;
 
 impl<A: Clone> Call<A> {
