--- a/components/audit/src/registrations.rs
+++ b/components/audit/src/registrations.rs
@@ -3,7 +3,7 @@
 use crate::limit::{allowed, Kind};
 use crate::stats;
 use names::Name;
-use registry::{Beside, Farewell, Incarnation, Instance, Mismatch, Record, Verdict};
+use registry::{ConfiguredUpstream, Farewell, Incarnation, Instance, Mismatch, Record, Verdict};
 
 /// The upstream beside this node registered something new.
 pub fn registered(instance: &Instance, sequence: u64, verdict: Verdict) {
@@ -21,7 +21,12 @@
 }
 
 /// A word about the upstream beside this node was not believed: `source` is where it came from.
-pub fn not_beside(told: &Instance, beside: &Beside, mismatch: Mismatch, source: &'static str) {
+pub fn not_beside(
+    told: &Instance,
+    beside: &ConfiguredUpstream,
+    mismatch: Mismatch,
+    source: &'static str,
+) {
     stats::bad_input(source);
     if allowed(Kind::NotBelieved) {
         tracing::warn!(
--- a/components/audit/src/requests.rs
+++ b/components/audit/src/requests.rs
@@ -6,7 +6,7 @@
 use home::{AccountLoad, Load, Offer, Reason, Refusal};
 use names::{AttemptId, Name};
 use notices::RequestRate;
-use registry::Named;
+use registry::LocalService;
 use wire::{RelayOutcome, Request};
 
 /// A request for which a route and a service were found.
@@ -19,7 +19,7 @@
     /// Revision by which it is served.
     pub revision: u64,
     /// The service in whose name it runs, and what says so.
-    pub caller: Option<&'a Named>,
+    pub caller: Option<&'a LocalService>,
     /// The service in whose name its caller says that it calls; never believed.
     pub caller_told: Option<&'a str>,
     /// How long its caller waits, in milliseconds.
@@ -58,12 +58,12 @@
 
 /// Calls from this VM are made in another name than before.
 pub fn caller_changed(
-    before: Option<&Named>,
-    next: Option<&Named>,
+    before: Option<&LocalService>,
+    next: Option<&LocalService>,
     settings: Option<&Name>,
     registered: Option<&Name>,
 ) {
-    let service = |named: Option<&Named>| {
+    let service = |named: Option<&LocalService>| {
         named
             .map_or("-", |named| named.service.as_str())
             .to_string()
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -24,7 +24,7 @@
 use policy::Input;
 use quarantine::Standing;
 use quota::Token;
-use registry::Named;
+use registry::LocalService;
 use rollout::InForce;
 use std::future::Future;
 use std::pin::pin;
@@ -328,7 +328,7 @@
 }
 
 /// The service in whose name calls from this VM are made, and what says so.
-fn caller_named(node: &Node) -> Option<Named> {
+fn caller_named(node: &Node) -> Option<LocalService> {
     let believed = node.registration.as_deref().and_then(registration::service);
     let beside = registration::beside(node);
     node.caller_name.choose(&beside, believed.as_ref())
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -25,7 +25,9 @@
 use names::{BootId, Moment, Name};
 use platform::Adapter;
 use quarantine::Fingerprint;
-use registry::{Beside, Declared, Fleet, Incarnation, Instance, Local, Record, Version};
+use registry::{
+    ConfiguredUpstream, Declared, Fleet, Incarnation, Instance, Local, Record, Version,
+};
 use rollout::InForce;
 use settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -142,9 +144,9 @@
 }
 
 /// What the settings say of the upstream beside this node.
-pub fn beside(node: &Node) -> Beside {
+pub fn beside(node: &Node) -> ConfiguredUpstream {
     let live = node.live.borrow();
-    Beside {
+    ConfiguredUpstream {
         service: live.service.clone(),
         address: live.upstream,
     }
--- a/components/registry/src/beside.rs
+++ b/components/registry/src/beside.rs
@@ -29,7 +29,7 @@
 
 /// The service that runs on a VM, and what says so.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Named {
+pub struct LocalService {
     /// The service.
     pub service: Name,
     /// What says so.
@@ -68,14 +68,14 @@
 
 /// What the settings say of the upstream beside a node.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Beside {
+pub struct ConfiguredUpstream {
     /// Its service; none if they don't say.
     pub service: Option<Name>,
     /// Where it serves; none if they don't say.
     pub address: Option<SocketAddr>,
 }
 
-impl Beside {
+impl ConfiguredUpstream {
     /// What in `told` shows that it is about another upstream; none if it may be about this one.
     pub fn mismatch(
         &self,
@@ -94,8 +94,8 @@
 
     /// The service that runs on the VM. What its upstream last said and was believed goes first: settings that change while
     /// it goes on are those of another one, or somebody else's.
-    pub fn service(&self, believed: Option<&Name>) -> Option<Named> {
-        let named = |service: &Name, origin| Named {
+    pub fn service(&self, believed: Option<&Name>) -> Option<LocalService> {
+        let named = |service: &Name, origin| LocalService {
             service: service.clone(),
             origin,
         };
--- a/components/registry/src/lib.rs
+++ b/components/registry/src/lib.rs
@@ -11,7 +11,7 @@
 mod record;
 mod spread;
 
-pub use beside::{Beside, Declared, Mismatch, Named, Origin};
+pub use beside::{ConfiguredUpstream, Declared, LocalService, Mismatch, Origin};
 pub use digest::{BucketSet, Digests, BUCKETS};
 pub use fleet::{Fleet, Merged};
 pub use incarnation::Incarnation;
--- a/components/registry/tests/beside.rs
+++ b/components/registry/tests/beside.rs
@@ -3,7 +3,9 @@
 
 use names::{Moment, Name};
 use proptest::prelude::*;
-use registry::{Beside, Declared, Heartbeat, Instance, Local, Mismatch, Origin, State, DOUBT_US};
+use registry::{
+    ConfiguredUpstream, Declared, Heartbeat, Instance, Local, Mismatch, Origin, State, DOUBT_US,
+};
 use std::collections::BTreeSet;
 
 const ADDRESS: &str = "10.0.0.1:80";
@@ -20,8 +22,8 @@
     }
 }
 
-fn beside(service: Option<&str>) -> Beside {
-    Beside {
+fn beside(service: Option<&str>) -> ConfiguredUpstream {
+    ConfiguredUpstream {
         service: service.map(Name::from),
         address: ADDRESS.parse().ok(),
     }
