--- a/components/audit/src/registrations.rs
+++ b/components/audit/src/registrations.rs
@@ -3,10 +3,12 @@
 use crate::limit::{allowed, Kind};
 use crate::stats;
 use names::Name;
-use registry::{ConfiguredUpstream, Farewell, Incarnation, Instance, Mismatch, Record, Verdict};
+use registry::{
+    ConfiguredUpstream, DepartureOutcome, HeartbeatOutcome, Incarnation, Instance, Mismatch, Record,
+};
 
 /// The upstream beside this node registered something new.
-pub fn registered(instance: &Instance, sequence: u64, verdict: Verdict) {
+pub fn registered(instance: &Instance, sequence: u64, verdict: HeartbeatOutcome) {
     tracing::info!(
         instance = %instance.id,
         born_ms = instance.born_ms,
@@ -89,7 +91,7 @@
 }
 
 /// The upstream beside this node said that it ends.
-pub fn leaves(incarnation: &Incarnation, farewell: Farewell) {
+pub fn leaves(incarnation: &Incarnation, farewell: DepartureOutcome) {
     tracing::info!(instance = %incarnation.id, born_ms = incarnation.born_ms, ?farewell, "an upstream leaves");
 }
 
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -139,7 +139,7 @@
         tracing::info!(?expected, other, "another upstream stands at the address");
         if let Some(expected) = expected {
             // The one that was meant, which need not be the one that stands here by now.
-            if registration.local.borrow_mut().is_not(expected) {
+            if registration.local.borrow_mut().mark_absent(expected) {
                 registration::local_changed(node, registration, PriorStarts::Until(node.started));
             }
         }
--- a/components/daemon/src/registration/door.rs
+++ b/components/daemon/src/registration/door.rs
@@ -12,7 +12,7 @@
 use http1::{request_framing, Connection, Fault};
 use names::MILLISECOND;
 use platform::Registration as Told;
-use registry::{Change, Farewell, Instance, Verdict};
+use registry::{Change, DepartureOutcome, HeartbeatOutcome, Instance};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -142,22 +142,25 @@
             let sequence = heartbeat.sequence;
             let left_ms = heartbeat.cold_ms;
             let now = node.now();
-            let verdict = registration.local.borrow_mut().heartbeat(now, heartbeat);
-            if verdict != Verdict::Taken(Change::None) {
+            let verdict = registration.local.borrow_mut().on_heartbeat(now, heartbeat);
+            if verdict != HeartbeatOutcome::Taken(Change::None) {
                 audit::registered(&instance, sequence, verdict);
             }
-            let changed = matches!(verdict, Verdict::Taken(Change::Updated | Change::Replaced));
+            let changed = matches!(
+                verdict,
+                HeartbeatOutcome::Taken(Change::Updated | Change::Replaced)
+            );
             earlier = earlier_run(node, sequence, left_ms);
-            let is_taken = matches!(verdict, Verdict::Taken(_));
+            let is_taken = matches!(verdict, HeartbeatOutcome::Taken(_));
             cold_ms = is_taken.then_some(left_ms);
-            let doubted = verdict == Verdict::Doubted;
+            let doubted = verdict == HeartbeatOutcome::Doubted;
             (changed, Taken::acknowledged_unless(doubted))
         }
         Told::Leaves(incarnation) => {
-            let farewell = registration.local.borrow_mut().leaves(&incarnation);
+            let farewell = registration.local.borrow_mut().on_departure(&incarnation);
             audit::leaves(&incarnation, farewell);
-            let doubted = farewell == Farewell::Doubted;
-            let changed = farewell == Farewell::Taken;
+            let doubted = farewell == DepartureOutcome::Doubted;
+            let changed = farewell == DepartureOutcome::Taken;
             (changed, Taken::acknowledged_unless(doubted))
         }
     };
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -31,7 +31,7 @@
         return;
     }
     if earlier.state != State::Ready {
-        if registration.local.borrow_mut().remembered(&earlier) {
+        if registration.local.borrow_mut().restore_state(&earlier) {
             local_changed(&node, &registration, PriorStarts::Until(node.started));
         }
         return;
@@ -47,7 +47,7 @@
     };
     match found {
         Ok(()) => {
-            let taken = registration.local.borrow_mut().found(earlier.clone());
+            let taken = registration.local.borrow_mut().adopt(earlier.clone());
             audit::found(&earlier, taken);
             if taken {
                 local_changed(&node, &registration, PriorStarts::Until(node.started));
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -26,7 +26,7 @@
 use platform::Adapter;
 use quarantine::Fingerprint;
 use registry::{
-    ConfiguredUpstream, Declared, Fleet, Incarnation, Instance, Local, Record, Version,
+    ConfiguredUpstream, Declared, Fleet, Incarnation, Instance, LocalUpstream, Record, Version,
 };
 use rollout::InForce;
 use settings::Settings;
@@ -39,7 +39,7 @@
     /// Translates the platform's words.
     pub adapter: Box<dyn Adapter>,
     /// The upstream beside this node.
-    pub local: RefCell<Local>,
+    pub local: RefCell<LocalUpstream>,
     /// All nodes.
     pub fleet: RefCell<Fleet>,
     /// Whether the records in the store were read.
@@ -129,7 +129,7 @@
     told: &Instance,
     source: &'static str,
 ) -> bool {
-    if registration.local.borrow().is_known_by(told) {
+    if registration.local.borrow().is_current(told) {
         // It was believed before, and goes on, whatever the settings say by now.
         return true;
     }
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -34,7 +34,7 @@
     if let Some(job) = node.jobs.borrow_mut().get_mut(&id) {
         job.leaving = Some(incarnation.clone());
     }
-    let is_news = registration.local.borrow_mut().drains(incarnation);
+    let is_news = registration.local.borrow_mut().on_drain(incarnation);
     if is_news {
         audit::leaving_noticed(incarnation, &node.cfg.vm);
         registration::local_changed(node, registration, PriorStarts::None);
--- a/components/registry/src/local.rs
+++ b/components/registry/src/local.rs
@@ -14,7 +14,7 @@
 /// A start that says it came before the present one is taken for its successor, with a clock that was set back,
 /// when it has gone on for so long while the present one said nothing, in microseconds: twice the users' time
 /// between two registrations (1.5 s), and a second for one that is late.
-pub const DOUBT_US: u64 = 4 * SECOND;
+pub const CONFIRMATION_US: u64 = 4 * SECOND;
 
 /// One registration of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,22 +40,22 @@
 
 /// What a registration was taken for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HeartbeatOutcome {
     /// News.
     Taken(Change),
     /// Older than a registration of the same start that came before.
     Late,
     /// From a start that has ended. One whose place another took without a word from it is taken again once it has
-    /// gone on for [`DOUBT_US`] while the other one said nothing.
+    /// gone on for [`CONFIRMATION_US`] while the other one said nothing.
     Ended,
-    /// From a start that says it came before the present one. It is taken once it has gone on for [`DOUBT_US`]
+    /// From a start that says it came before the present one. It is taken once it has gone on for [`CONFIRMATION_US`]
     /// while the present one said nothing: its clock was set back. Until then it must not be acknowledged.
     Doubted,
 }
 
 /// What became of a start's word that it ends soon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Farewell {
+pub enum DepartureOutcome {
     /// It gets no new work from now on.
     Taken,
     /// It got none before.
@@ -85,21 +85,21 @@
 
 /// The upstream beside this node.
 #[derive(Debug, Clone, Default)]
-pub struct Local {
+pub struct LocalUpstream {
     current: Option<Instance>,
     sequence: u64,
     ended: VecDeque<Ended>,
     doubted: Option<Doubted>,
 }
 
-impl Local {
+impl LocalUpstream {
     /// The start beside this node, in whatever state.
     pub fn current(&self) -> Option<&Instance> {
         self.current.as_ref()
     }
 
     /// Whether `told` names the present start as it is known: its identity, service and address.
-    pub fn is_known_by(&self, told: &Instance) -> bool {
+    pub fn is_current(&self, told: &Instance) -> bool {
         self.current.as_ref().is_some_and(|current| {
             let is_same_start = current.incarnation().is(&told.incarnation());
             is_same_start && current.service == told.service && current.address == told.address
@@ -116,12 +116,12 @@
     }
 
     /// Takes in a registration.
-    pub fn heartbeat(&mut self, now: Moment, heartbeat: Heartbeat) -> Verdict {
+    pub fn on_heartbeat(&mut self, now: Moment, heartbeat: Heartbeat) -> HeartbeatOutcome {
         let incarnation = heartbeat.instance.incarnation();
         let current = self.current.as_ref().map(Instance::incarnation);
         if let Some(ended) = self.ended(&incarnation) {
             if ended.was_told {
-                return Verdict::Ended;
+                return HeartbeatOutcome::Ended;
             }
             return self.goes_on(now, heartbeat, current);
         }
@@ -135,34 +135,34 @@
     }
 
     /// Takes in that a start will end soon: it gets no new work from now on.
-    pub fn leaves(&mut self, incarnation: &Incarnation) -> Farewell {
+    pub fn on_departure(&mut self, incarnation: &Incarnation) -> DepartureOutcome {
         let is_known = self.ended(incarnation).is_some();
         match self.current.as_mut() {
             Some(current) if current.incarnation().is(incarnation) => {
                 let before = current.state;
                 current.state = State::Gone;
                 if before == State::Ready {
-                    return Farewell::Taken;
+                    return DepartureOutcome::Taken;
                 }
-                Farewell::Known
+                DepartureOutcome::Known
             }
             Some(current)
                 if !is_known
                     && current.id == incarnation.id
                     && incarnation.claims_to_precede(&current.incarnation()) =>
             {
-                Farewell::Doubted
+                DepartureOutcome::Doubted
             }
             _ => {
                 self.end(incarnation.clone(), State::Gone, true);
-                Farewell::Known
+                DepartureOutcome::Known
             }
         }
     }
 
     /// Takes in that a start leaves, by an answer that it gave: it gets no new work from now on, whatever its registrations
     /// say. Returns whether that changed anything.
-    pub fn drains(&mut self, incarnation: &Incarnation) -> bool {
+    pub fn on_drain(&mut self, incarnation: &Incarnation) -> bool {
         match self.current.as_mut() {
             Some(current) if current.incarnation().is(incarnation) => {
                 let was_ready = current.state == State::Ready;
@@ -178,7 +178,7 @@
 
     /// Takes in a start that was found by a look at its address or told by another node, unless
     /// something is known already. Returns whether it was taken.
-    pub fn found(&mut self, instance: Instance) -> bool {
+    pub fn adopt(&mut self, instance: Instance) -> bool {
         if self.current.is_some() || self.ended(&instance.incarnation()).is_some() {
             return false;
         }
@@ -188,7 +188,7 @@
 
     /// Takes in what another node remembers of a start: a state that was reached is never left.
     /// Returns whether that changed anything.
-    pub fn remembered(&mut self, instance: &Instance) -> bool {
+    pub fn restore_state(&mut self, instance: &Instance) -> bool {
         if instance.state == State::Ready {
             return false;
         }
@@ -214,7 +214,7 @@
 
     /// Takes in that something else answers at the address of `incarnation`. Returns whether that changed
     /// anything.
-    pub fn is_not(&mut self, incarnation: &Incarnation) -> bool {
+    pub fn mark_absent(&mut self, incarnation: &Incarnation) -> bool {
         let matches = self
             .current
             .as_ref()
@@ -234,13 +234,13 @@
         now: Moment,
         heartbeat: Heartbeat,
         current: Option<Incarnation>,
-    ) -> Verdict {
+    ) -> HeartbeatOutcome {
         let incarnation = heartbeat.instance.incarnation();
         match current {
             Some(current) if !current.claims_to_precede(&incarnation) => {
                 match self.precedes(now, heartbeat) {
                     // It gets no work, so there is nothing that an acknowledgement could promise wrongly.
-                    Verdict::Doubted => Verdict::Ended,
+                    HeartbeatOutcome::Doubted => HeartbeatOutcome::Ended,
                     taken => taken,
                 }
             }
@@ -249,25 +249,25 @@
     }
 
     /// A late registration: only that the start drains is news whenever it comes, since it never takes work again.
-    fn late(&mut self, state: State) -> Verdict {
+    fn late(&mut self, state: State) -> HeartbeatOutcome {
         match self.current.as_mut() {
             Some(known) if known.state < state => {
                 known.state = state;
-                Verdict::Taken(Change::Updated)
+                HeartbeatOutcome::Taken(Change::Updated)
             }
-            _ => Verdict::Late,
+            _ => HeartbeatOutcome::Late,
         }
     }
 
     /// A further registration of the present start.
-    fn again(&mut self, heartbeat: Heartbeat) -> Verdict {
+    fn again(&mut self, heartbeat: Heartbeat) -> HeartbeatOutcome {
         if heartbeat.sequence < self.sequence {
             return self.late(heartbeat.instance.state);
         }
         self.sequence = heartbeat.sequence;
         self.doubted = None;
         let Some(known) = self.current.as_ref() else {
-            return Verdict::Late;
+            return HeartbeatOutcome::Late;
         };
         let next = Instance {
             // A start that drains never takes work again.
@@ -281,20 +281,20 @@
             Change::Updated
         };
         self.current = Some(next);
-        Verdict::Taken(change)
+        HeartbeatOutcome::Taken(change)
     }
 
     /// A registration of a start that says it came before the present one. A word of an earlier start that was
     /// held back comes alone; one whose clock was set back goes on, and the present one says nothing any more.
-    fn precedes(&mut self, now: Moment, heartbeat: Heartbeat) -> Verdict {
+    fn precedes(&mut self, now: Moment, heartbeat: Heartbeat) -> HeartbeatOutcome {
         let incarnation = heartbeat.instance.incarnation();
         let before = self.doubted.as_mut();
         match before.filter(|doubted| doubted.incarnation == incarnation) {
-            Some(doubted) if doubted.sequence >= heartbeat.sequence => Verdict::Doubted,
-            Some(doubted) if now.since(doubted.since) >= DOUBT_US => self.follows(heartbeat),
+            Some(doubted) if doubted.sequence >= heartbeat.sequence => HeartbeatOutcome::Doubted,
+            Some(doubted) if now.since(doubted.since) >= CONFIRMATION_US => self.follows(heartbeat),
             Some(doubted) => {
                 doubted.sequence = heartbeat.sequence;
-                Verdict::Doubted
+                HeartbeatOutcome::Doubted
             }
             None => {
                 self.doubted = Some(Doubted {
@@ -302,19 +302,19 @@
                     since: now,
                     sequence: heartbeat.sequence,
                 });
-                Verdict::Doubted
+                HeartbeatOutcome::Doubted
             }
         }
     }
 
     /// The first registration of a start that takes the place of the present one.
-    fn follows(&mut self, heartbeat: Heartbeat) -> Verdict {
+    fn follows(&mut self, heartbeat: Heartbeat) -> HeartbeatOutcome {
         let mut instance = heartbeat.instance;
         if let Some(ended) = self.ended(&instance.incarnation()) {
             instance.state = instance.state.max(ended.state);
         }
         self.replace(instance, heartbeat.sequence);
-        Verdict::Taken(Change::Replaced)
+        HeartbeatOutcome::Taken(Change::Replaced)
     }
 
     fn replace(&mut self, instance: Instance, sequence: u64) {
--- a/components/registry/tests/beside.rs
+++ b/components/registry/tests/beside.rs
@@ -4,7 +4,8 @@
 use names::{Moment, Name};
 use proptest::prelude::*;
 use registry::{
-    ConfiguredUpstream, Declared, Heartbeat, Instance, Local, Mismatch, Origin, State, DOUBT_US,
+    ConfiguredUpstream, Declared, Heartbeat, Instance, LocalUpstream, Mismatch, Origin, State,
+    CONFIRMATION_US,
 };
 use std::collections::BTreeSet;
 
@@ -108,7 +109,7 @@
             .prop_map(|(s, id, at)| Said::Registration(s, id, at)),
         service.clone().prop_map(Said::Settings),
         proptest::collection::btree_set(service, 0..4).prop_map(Said::Declarations),
-        (0..2 * DOUBT_US).prop_map(Said::Passes),
+        (0..2 * CONFIRMATION_US).prop_map(Said::Passes),
     ]
 }
 
@@ -122,7 +123,7 @@
     ) {
         let mut settings = beside(Some(SERVICES[first]));
         let mut named: BTreeSet<usize> = BTreeSet::from([first]);
-        let mut local = Local::default();
+        let mut local = LocalUpstream::default();
         let mut agreed = BTreeSet::new();
         let mut now = Moment(1);
         for step in steps {
@@ -136,11 +137,11 @@
                 Said::Registration(service, id, sequence) => {
                     let mut instance = told(SERVICES[service], ADDRESS);
                     instance.id = Name::from(format!("i-{id}"));
-                    let goes_on = local.is_known_by(&instance);
+                    let goes_on = local.is_current(&instance);
                     if goes_on || settings.mismatch(&instance, declared).is_none() {
                         agreed.insert(instance.service.clone());
                         let heartbeat = Heartbeat { instance, sequence, cold_ms: 0 };
-                        local.heartbeat(now, heartbeat);
+                        local.on_heartbeat(now, heartbeat);
                     }
                 }
                 Said::Settings(service) => settings.service = Some(Name::from(SERVICES[service])),
@@ -163,21 +164,21 @@
     ) {
         let own = Name::from(SERVICES[first]);
         let mut settings = beside(Some(SERVICES[first]));
-        let mut local = Local::default();
+        let mut local = LocalUpstream::default();
         let instance = told(SERVICES[first], ADDRESS);
         let all = declared(&SERVICES);
         let mut now = Moment(1);
         for (count, step) in steps.into_iter().enumerate() {
-            let is_believed = local.is_known_by(&instance) || settings.mismatch(&instance, all).is_none();
+            let is_believed = local.is_current(&instance) || settings.mismatch(&instance, all).is_none();
             prop_assert!(is_believed, "its own word is not believed");
             let instance = instance.clone();
             let sequence = count as u64;
-            local.heartbeat(now, Heartbeat { instance, sequence, cold_ms: 0 });
+            local.on_heartbeat(now, Heartbeat { instance, sequence, cold_ms: 0 });
             match step {
                 Said::Registration(service, id, _) if service != first => {
                     let mut other = told(SERVICES[service], ADDRESS);
                     other.id = Name::from(format!("i-{id}"));
-                    prop_assert!(!local.is_known_by(&other));
+                    prop_assert!(!local.is_current(&other));
                     let refused = settings.mismatch(&other, all).is_some();
                     prop_assert!(refused || settings.service.as_ref() != Some(&own));
                 }
--- a/components/registry/tests/registry.rs
+++ b/components/registry/tests/registry.rs
@@ -2,8 +2,8 @@
 
 use names::{BootId, Moment, Name};
 use registry::{
-    Change, Farewell, Fleet, Heartbeat, Incarnation, Instance, Local, Merged, Record, State,
-    Verdict, Version, DOUBT_US,
+    Change, DepartureOutcome, Fleet, Heartbeat, HeartbeatOutcome, Incarnation, Instance,
+    LocalUpstream, Merged, Record, State, Version, CONFIRMATION_US,
 };
 
 fn instance(id: &str, state: State) -> Instance {
@@ -40,7 +40,7 @@
     }
 }
 
-fn state_of(local: &Local) -> Option<(Option<u64>, State)> {
+fn state_of(local: &LocalUpstream) -> Option<(Option<u64>, State)> {
     local.current().map(|run| (run.born_ms, run.state))
 }
 
@@ -72,155 +72,158 @@
 
 #[test]
 fn a_registration_that_comes_late_changes_nothing() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 1));
-    local.heartbeat(NOW, heartbeat("a", State::Draining, 5));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 1));
+    local.on_heartbeat(NOW, heartbeat("a", State::Draining, 5));
     assert_eq!(
-        local.heartbeat(NOW, heartbeat("a", State::Ready, 4)),
-        Verdict::Late
+        local.on_heartbeat(NOW, heartbeat("a", State::Ready, 4)),
+        HeartbeatOutcome::Late
     );
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
 }
 
 #[test]
 fn a_later_start_of_the_same_identity_takes_work_whatever_the_earlier_one_said() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(100, State::Draining, 90));
-    let verdict = local.heartbeat(NOW, born(200, State::Ready, 0));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(100, State::Draining, 90));
+    let verdict = local.on_heartbeat(NOW, born(200, State::Ready, 0));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(
-        local.heartbeat(NOW, born(100, State::Draining, 91)),
-        Verdict::Ended
+        local.on_heartbeat(NOW, born(100, State::Draining, 91)),
+        HeartbeatOutcome::Ended
     );
-    assert_eq!(local.leaves(&started(100)), Farewell::Known);
+    assert_eq!(local.on_departure(&started(100)), DepartureOutcome::Known);
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
     // Twice in a row.
-    local.heartbeat(NOW, born(300, State::Ready, 0));
+    local.on_heartbeat(NOW, born(300, State::Ready, 0));
     assert_eq!(
-        local.heartbeat(NOW, born(200, State::Draining, 5)),
-        Verdict::Ended
+        local.on_heartbeat(NOW, born(200, State::Draining, 5)),
+        HeartbeatOutcome::Ended
     );
     assert_eq!(state_of(&local), Some((Some(300), State::Ready)));
 }
 
 #[test]
 fn a_word_of_an_earlier_start_that_was_never_known_is_not_acknowledged_and_changes_nothing() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(200, State::Ready, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(200, State::Ready, 3));
     assert_eq!(
-        local.heartbeat(NOW, born(100, State::Draining, 50)),
-        Verdict::Doubted
+        local.on_heartbeat(NOW, born(100, State::Draining, 50)),
+        HeartbeatOutcome::Doubted
     );
-    assert_eq!(local.leaves(&started(100)), Farewell::Doubted);
+    assert_eq!(local.on_departure(&started(100)), DepartureOutcome::Doubted);
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
 }
 
 #[test]
 fn several_late_words_do_not_take_the_place_of_a_start_that_goes_on() {
-    let mut local = Local::default();
+    let mut local = LocalUpstream::default();
     let mut now = NOW;
     for step in 0..20 {
-        now = now + DOUBT_US / 2;
-        local.heartbeat(now, born(200, State::Ready, step));
-        let late = local.heartbeat(now + 1, born(100, State::Draining, 50 + step));
-        assert_eq!(late, Verdict::Doubted);
+        now = now + CONFIRMATION_US / 2;
+        local.on_heartbeat(now, born(200, State::Ready, step));
+        let late = local.on_heartbeat(now + 1, born(100, State::Draining, 50 + step));
+        assert_eq!(late, HeartbeatOutcome::Doubted);
     }
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
 }
 
 #[test]
 fn a_start_whose_clock_was_set_back_is_taken_once_it_goes_on_alone() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(200, State::Draining, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(200, State::Draining, 3));
     let mut sequence = 0;
     let mut now = NOW;
-    while now < NOW + DOUBT_US {
-        let verdict = local.heartbeat(now, born(100, State::Ready, sequence));
-        assert_eq!(verdict, Verdict::Doubted);
+    while now < NOW + CONFIRMATION_US {
+        let verdict = local.on_heartbeat(now, born(100, State::Ready, sequence));
+        assert_eq!(verdict, HeartbeatOutcome::Doubted);
         sequence += 1;
-        now = now + DOUBT_US / 3 + 1;
+        now = now + CONFIRMATION_US / 3 + 1;
     }
     // The same word again proves nothing.
-    let again = local.heartbeat(now, born(100, State::Ready, sequence - 1));
-    assert_eq!(again, Verdict::Doubted);
-    let verdict = local.heartbeat(now, born(100, State::Ready, sequence));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    let again = local.on_heartbeat(now, born(100, State::Ready, sequence - 1));
+    assert_eq!(again, HeartbeatOutcome::Doubted);
+    let verdict = local.on_heartbeat(now, born(100, State::Ready, sequence));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
 }
 
 #[test]
 fn a_start_that_was_wrongly_taken_for_a_gone_one_returns_with_its_next_word() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(200, State::Ready, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(200, State::Ready, 3));
     // Cut off, while words of the earlier start still arrive.
-    local.heartbeat(NOW, born(100, State::Ready, 50));
-    local.heartbeat(NOW + DOUBT_US, born(100, State::Ready, 51));
+    local.on_heartbeat(NOW, born(100, State::Ready, 50));
+    local.on_heartbeat(NOW + CONFIRMATION_US, born(100, State::Ready, 51));
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
-    let verdict = local.heartbeat(NOW + DOUBT_US + 1, born(200, State::Ready, 4));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    let verdict = local.on_heartbeat(NOW + CONFIRMATION_US + 1, born(200, State::Ready, 4));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
     // One that said that it ends does not.
-    assert_eq!(local.leaves(&started(200)), Farewell::Taken);
+    assert_eq!(local.on_departure(&started(200)), DepartureOutcome::Taken);
     assert_eq!(
-        local.heartbeat(NOW + DOUBT_US + 2, born(200, State::Ready, 5)),
-        Verdict::Taken(Change::None)
+        local.on_heartbeat(NOW + CONFIRMATION_US + 2, born(200, State::Ready, 5)),
+        HeartbeatOutcome::Taken(Change::None)
     );
     assert_eq!(state_of(&local), Some((Some(200), State::Gone)));
 }
 
 #[test]
 fn a_start_that_does_not_say_when_it_began_is_known_by_its_identity() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 3));
     assert_eq!(
-        local.heartbeat(NOW, born(100, State::Ready, 4)),
-        Verdict::Taken(Change::Updated)
+        local.on_heartbeat(NOW, born(100, State::Ready, 4)),
+        HeartbeatOutcome::Taken(Change::Updated)
     );
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
-    assert_eq!(local.leaves(&incarnation("a")), Farewell::Taken);
+    assert_eq!(
+        local.on_departure(&incarnation("a")),
+        DepartureOutcome::Taken
+    );
 }
 
 #[test]
 fn a_run_that_drains_never_takes_work_again() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Draining, 1));
-    let verdict = local.heartbeat(NOW, heartbeat("a", State::Ready, 2));
-    assert_eq!(verdict, Verdict::Taken(Change::None));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Draining, 1));
+    let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 2));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::None));
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
 }
 
 #[test]
 fn a_run_that_was_followed_by_another_never_comes_back() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 9));
-    local.heartbeat(NOW, heartbeat("b", State::Ready, 1));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
+    local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
     assert_eq!(
-        local.heartbeat(NOW, heartbeat("a", State::Ready, 10)),
-        Verdict::Ended
+        local.on_heartbeat(NOW, heartbeat("a", State::Ready, 10)),
+        HeartbeatOutcome::Ended
     );
     assert_eq!(local.current().map(|run| run.id.as_str()), Some("b"));
 }
 
 #[test]
 fn a_start_that_goes_on_comes_back_when_the_one_in_its_place_says_nothing_more() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 9));
-    local.heartbeat(NOW, heartbeat("b", State::Ready, 1));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
+    local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
     let mut now = NOW;
     for sequence in 10..12 {
-        let verdict = local.heartbeat(now, heartbeat("a", State::Ready, sequence));
-        assert_eq!(verdict, Verdict::Ended);
-        now = now + DOUBT_US / 2;
+        let verdict = local.on_heartbeat(now, heartbeat("a", State::Ready, sequence));
+        assert_eq!(verdict, HeartbeatOutcome::Ended);
+        now = now + CONFIRMATION_US / 2;
     }
     // The same word again proves nothing, and a word of the other one starts the time anew.
-    now = now + DOUBT_US;
-    let again = local.heartbeat(now, heartbeat("a", State::Ready, 11));
-    assert_eq!(again, Verdict::Ended);
-    local.heartbeat(now, heartbeat("b", State::Ready, 2));
-    let verdict = local.heartbeat(now, heartbeat("a", State::Ready, 12));
-    assert_eq!(verdict, Verdict::Ended);
-    let verdict = local.heartbeat(now + DOUBT_US, heartbeat("a", State::Ready, 13));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    now = now + CONFIRMATION_US;
+    let again = local.on_heartbeat(now, heartbeat("a", State::Ready, 11));
+    assert_eq!(again, HeartbeatOutcome::Ended);
+    local.on_heartbeat(now, heartbeat("b", State::Ready, 2));
+    let verdict = local.on_heartbeat(now, heartbeat("a", State::Ready, 12));
+    assert_eq!(verdict, HeartbeatOutcome::Ended);
+    let verdict = local.on_heartbeat(now + CONFIRMATION_US, heartbeat("a", State::Ready, 13));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(local.current().map(|run| run.id.as_str()), Some("a"));
 }
 
@@ -230,44 +233,47 @@
         (State::Ready, State::Ready),
         (State::Draining, State::Draining),
     ] {
-        let mut local = Local::default();
-        local.heartbeat(NOW, heartbeat("a", state, 9));
-        local.heartbeat(NOW, heartbeat("b", State::Ready, 1));
-        assert!(local.is_not(&incarnation("b")));
-        let verdict = local.heartbeat(NOW, heartbeat("a", State::Ready, 10));
-        assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+        let mut local = LocalUpstream::default();
+        local.on_heartbeat(NOW, heartbeat("a", state, 9));
+        local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
+        assert!(local.mark_absent(&incarnation("b")));
+        let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 10));
+        assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
         assert_eq!(local.current().map(|run| run.state), Some(then));
         // The other one was found not to stand there.
-        let verdict = local.heartbeat(NOW, heartbeat("b", State::Ready, 2));
-        assert_eq!(verdict, Verdict::Ended);
+        let verdict = local.on_heartbeat(NOW, heartbeat("b", State::Ready, 2));
+        assert_eq!(verdict, HeartbeatOutcome::Ended);
     }
 }
 
 #[test]
 fn a_late_registration_still_tells_that_its_start_drains() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 9));
-    let verdict = local.heartbeat(NOW, heartbeat("a", State::Draining, 5));
-    assert_eq!(verdict, Verdict::Taken(Change::Updated));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
+    let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Draining, 5));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Updated));
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
-    let verdict = local.heartbeat(NOW, heartbeat("a", State::Ready, 6));
-    assert_eq!(verdict, Verdict::Late);
+    let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 6));
+    assert_eq!(verdict, HeartbeatOutcome::Late);
 }
 
 #[test]
 fn a_run_that_left_stays_gone_whatever_it_says_later() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 1));
-    assert_eq!(local.leaves(&incarnation("a")), Farewell::Taken);
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 2));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 1));
+    assert_eq!(
+        local.on_departure(&incarnation("a")),
+        DepartureOutcome::Taken
+    );
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 2));
     assert_eq!(local.current().map(|run| run.state), Some(State::Gone));
 }
 
 #[test]
 fn what_other_nodes_remember_of_a_drain_holds_for_a_node_that_started_anew() {
-    let mut local = Local::default();
-    assert!(local.remembered(&instance("a", State::Draining)));
-    assert!(!local.found(instance("a", State::Ready)));
+    let mut local = LocalUpstream::default();
+    assert!(local.restore_state(&instance("a", State::Draining)));
+    assert!(!local.adopt(instance("a", State::Ready)));
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
 }
 
@@ -363,23 +369,23 @@
 
 #[test]
 fn a_start_that_leaves_by_its_answers_is_drained_whatever_its_registrations_say() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(5, State::Ready, 0));
-    assert!(!local.drains(&started(4)));
-    assert!(local.drains(&started(5)));
-    assert!(!local.drains(&started(5)));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(5, State::Ready, 0));
+    assert!(!local.on_drain(&started(4)));
+    assert!(local.on_drain(&started(5)));
+    assert!(!local.on_drain(&started(5)));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
-    local.heartbeat(NOW, born(5, State::Ready, 1));
+    local.on_heartbeat(NOW, born(5, State::Ready, 1));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
-    local.heartbeat(NOW, born(6, State::Ready, 0));
+    local.on_heartbeat(NOW, born(6, State::Ready, 0));
     assert_eq!(state_of(&local), Some((Some(6), State::Ready)));
 }
 
 #[test]
 fn a_start_that_left_before_it_registered_here_is_drained_when_it_does() {
-    let mut local = Local::default();
-    assert!(!local.drains(&started(5)));
-    local.heartbeat(NOW, born(5, State::Ready, 0));
+    let mut local = LocalUpstream::default();
+    assert!(!local.on_drain(&started(5)));
+    local.on_heartbeat(NOW, born(5, State::Ready, 0));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
 }
 
