--- a/components/audit/tests/startup_records.rs
+++ b/components/audit/tests/startup_records.rs
@@ -24,7 +24,7 @@
             slots: 1,
             state,
         }),
-        held: Vec::new(),
+        quarantined: Vec::new(),
     }
 }
 
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -199,14 +199,17 @@
 /// Takes in what another node holds, from its record, and what the same start of it held before.
 pub fn record_taken(node: &Rc<Node>, record: &Record, before: Option<&Record>) {
     let same_start = before.filter(|before| before.boot == record.boot);
-    for fingerprint in same_start.into_iter().flat_map(|before| &before.held) {
+    for fingerprint in same_start
+        .into_iter()
+        .flat_map(|before| &before.quarantined)
+    {
         if !is_in_a_record(node, *fingerprint) {
             let mut known = node.containment.known.borrow_mut();
             known.let_go(*fingerprint);
         }
     }
     let now = node.now();
-    for fingerprint in &record.held {
+    for fingerprint in &record.quarantined {
         let (is_news, standing) = {
             let mut known = node.containment.known.borrow_mut();
             let is_news = known.hold(now, *fingerprint);
@@ -231,7 +234,7 @@
     };
     let fleet = registration.fleet.borrow();
     let mut records = fleet.records();
-    records.any(|record| record.held.contains(&fingerprint))
+    records.any(|record| record.quarantined.contains(&fingerprint))
 }
 
 /// An operator frees a request: all nodes are told. Returns whether anything was known against it here.
@@ -342,7 +345,7 @@
     let Some(registration) = node.registration.clone() else {
         return;
     };
-    let before = registration.fleet.borrow().own().held.clone();
+    let before = registration.fleet.borrow().own().quarantined.clone();
     let after = {
         let known = node.containment.known.borrow();
         let now = node.now();
@@ -372,9 +375,9 @@
     }
     node.containment.has_predecessor.set(true);
     record_taken(node, earlier, None);
-    let mut held = registration.fleet.borrow().own().held.clone();
+    let mut held = registration.fleet.borrow().own().quarantined.clone();
     let before = held.len();
-    for fingerprint in &earlier.held {
+    for fingerprint in &earlier.quarantined {
         if !held.contains(fingerprint) {
             held.push(*fingerprint);
         }
@@ -389,7 +392,7 @@
     let told = match &node.registration {
         Some(registration) => {
             let fleet = registration.fleet.borrow();
-            registry::told_of_change(&fleet, |vm| links::has_failed(node, vm))
+            registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm))
         }
         None => node.others().into_iter().map(|(vm, _)| vm).collect(),
     };
@@ -402,5 +405,5 @@
     let Some(registration) = &node.registration else {
         return false;
     };
-    registry::is_passed_on(&registration.fleet.borrow(), from)
+    registry::should_forward(&registration.fleet.borrow(), from)
 }
--- a/components/daemon/src/links/dial.rs
+++ b/components/daemon/src/links/dial.rs
@@ -94,7 +94,7 @@
         return Err(Error::new(Step::Handshake, vm, cause));
     }
     let now = node.now();
-    if node.view.borrow_mut().met(vm, welcome.hello.boot) {
+    if node.view.borrow_mut().record_boot(vm, welcome.hello.boot) {
         node.entry.borrow_mut().forget(vm);
     }
     let (tx, stream) = socket::split(socket);
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -176,7 +176,7 @@
     /// A node that has just started.
     pub fn new(cfg: Settings, adapter: Option<Box<dyn Adapter>>) -> Rc<Node> {
         let clock = Clock::start();
-        let boot = BootId::draw();
+        let boot = BootId::random();
         let registration = adapter.map(|adapter| Rc::new(Registration::new(&cfg, boot, adapter)));
         let home = cfg.upstream.map(|_| {
             let limits = home::Config {
@@ -455,7 +455,7 @@
         let mut nodes = self.view.borrow().in_hall(&self.cfg.hall).count() as u32;
         if let Some(registration) = &self.registration {
             let fleet = registration.fleet.borrow();
-            nodes = fleet.hall(&self.cfg.hall).count() as u32;
+            nodes = fleet.in_hall(&self.cfg.hall).count() as u32;
             hall.messages_per_s = hall.messages_per_s.max(REGISTERED_MESSAGES_PER_S);
         }
         let now = self.now();
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -82,7 +82,7 @@
             },
             serving: true,
             upstream: None,
-            held: Vec::new(),
+            quarantined: Vec::new(),
         };
         Registration {
             adapter,
@@ -174,7 +174,7 @@
     let was_known = |run: &&Instance| {
         let run = run.incarnation();
         let mut before = before.iter();
-        before.any(|before| before.incarnation().is(&run))
+        before.any(|before| before.incarnation().matches(&run))
     };
     if let Some(current) = current.as_ref().filter(|run| !was_known(run)) {
         let is_namesake = before
@@ -216,7 +216,7 @@
     let own = registration
         .fleet
         .borrow_mut()
-        .change_own(|own| own.held = held);
+        .change_own(|own| own.quarantined = held);
     audit::own_record(&own);
     peers::tell_all(node, registration, &own);
     registration.store_soon();
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -17,7 +17,7 @@
 use quota::Quotas;
 use rand::seq::IndexedRandom;
 use rand::Rng;
-use registry::{Digests, Merged, Record, Versions};
+use registry::{Digests, MergeOutcome, Record, Versions};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,12 +57,12 @@
 /// record by which the upstream takes work goes over open connections alone, and to the others afterwards ([`run_dials`]):
 /// telling it opens connections to the whole hall.
 pub fn tell_all(node: &Rc<Node>, registration: &Registration, own: &Record) {
-    let is_deferred = registry::can_wait(own)
+    let is_deferred = registry::can_defer(own)
         && !registration.upstream_replaced.get()
         && watching::allowed(node) != Allowed::Everything;
     registration.announcement_deferred.set(is_deferred);
     let fleet = registration.fleet.borrow();
-    let mut told = registry::told_of_change(&fleet, |vm| links::has_failed(node, vm));
+    let mut told = registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm));
     drop(fleet);
     if is_deferred {
         told.retain(|vm| links::is_up(node, vm));
@@ -75,7 +75,7 @@
 /// Sends a frame to one node of each other hall.
 pub fn tell_other_halls(node: &Rc<Node>, registration: &Registration, frame: &Frame) {
     let fleet = registration.fleet.borrow();
-    let told = registry::far_contacts(&fleet, 1, |vm| links::has_failed(node, vm));
+    let told = registry::cross_hall_contacts(&fleet, 1, |vm| links::has_failed(node, vm));
     drop(fleet);
     for vm in told {
         links::send(node, &vm, frame);
@@ -107,7 +107,7 @@
     let offered = record.clone();
     let merged = registration.fleet.borrow_mut().merge(record);
     match merged {
-        Merged::Taken(before) => {
+        MergeOutcome::Applied(before) => {
             let fleet = registration.fleet.borrow();
             let Some(after) = fleet.record(&vm) else {
                 return;
@@ -122,7 +122,7 @@
             let renewed = before
                 .as_ref()
                 .is_some_and(|before| before.boot != after.boot);
-            let passed_on = sender.is_some_and(|sender| registry::is_passed_on(&fleet, sender));
+            let passed_on = sender.is_some_and(|sender| registry::should_forward(&fleet, sender));
             let news = passed_on.then(|| Frame::Registered(Box::new(after.clone())));
             drop(fleet);
             if let Some(news) = news {
@@ -145,7 +145,7 @@
                 reply.send(node, Frame::Registered(Box::new(before)));
             }
         }
-        Merged::Older => {
+        MergeOutcome::Older => {
             let fleet = registration.fleet.borrow();
             // The VM's node itself says what is older: it does not know what somebody else has said for it.
             let is_unknown_there = |known: &&Record| known.boot != boot || sender == Some(&vm);
@@ -155,10 +155,10 @@
                 reply.send(node, Frame::Registered(Box::new(known)));
             }
         }
-        Merged::Differs => ask_its_node(node, registration, offered),
-        Merged::Own(version) => {
+        MergeOutcome::Conflict => ask_its_node(node, registration, offered),
+        MergeOutcome::OwnConflict(version) => {
             containment::succeed(node, registration, &offered);
-            let own = registration.fleet.borrow_mut().rise_above(version);
+            let own = registration.fleet.borrow_mut().supersede(version);
             audit::own_record(&own);
             tell_all(node, registration, &own);
             registration.store_soon();
@@ -166,8 +166,8 @@
                 local::spawn(health::find(node.clone(), registration.clone(), earlier));
             }
         }
-        Merged::Unreachable => audit::unreachable(&offered),
-        Merged::Same => {}
+        MergeOutcome::ImplausibleVersion => audit::unreachable(&offered),
+        MergeOutcome::Same => {}
     }
 }
 
@@ -189,7 +189,7 @@
 pub fn digest_told(node: &Rc<Node>, registration: &Registration, digest: u64, reply: &Reply) {
     let fleet = registration.fleet.borrow();
     let digests = fleet.digests();
-    if digests.whole() == digest {
+    if digests.combined() == digest {
         return;
     }
     let bytes = digests.to_bytes();
@@ -222,16 +222,16 @@
     let fleet = registration.fleet.borrow();
     let compared = registry::compare(&fleet, theirs);
     let mine = compared
-        .lacks
+        .is_behind
         .then(|| registry::versions(&fleet, theirs.buckets));
     drop(fleet);
     tracing::debug!(
-        news = compared.news.len(),
-        lacks = compared.lacks,
+        news = compared.updates.len(),
+        lacks = compared.is_behind,
         "records compared with a peer"
     );
-    if !compared.news.is_empty() {
-        reply.send(node, Frame::Records(compared.news));
+    if !compared.updates.is_empty() {
+        reply.send(node, Frame::Records(compared.updates));
     }
     if let Some(mine) = mine {
         reply.send(node, Frame::RecordVersions(mine));
@@ -317,7 +317,7 @@
     let near = near_peers(node, &fleet);
     let is_far_turn = rand::rng().random_range(0..=near.len()) < FAR_COMPARISONS;
     let far = is_far_turn.then(|| far_contact(node, &fleet)).flatten();
-    let digest = fleet.digests().whole();
+    let digest = fleet.digests().combined();
     drop(fleet);
     let near = near.choose(&mut rand::rng()).cloned();
     for vm in near.into_iter().chain(far) {
@@ -331,7 +331,7 @@
 fn tell_digest(node: &Rc<Node>, registration: &Registration) {
     let fleet = registration.fleet.borrow();
     let near = near_peers(node, &fleet);
-    let digest = fleet.digests().whole();
+    let digest = fleet.digests().combined();
     drop(fleet);
     for vm in near.choose_multiple(&mut rand::rng(), TOLD_OF_NEWS) {
         links::send(node, vm, &Frame::RecordsDigest(digest));
@@ -357,6 +357,6 @@
     let hall = halls.choose(&mut rand::rng())?;
     let mut ranked = registry::contacts(fleet, hall);
     ranked.retain(|vm| !links::has_failed(node, vm));
-    ranked.truncate(registry::CONTACTS);
+    ranked.truncate(registry::CONTACTS_PER_HALL);
     ranked.choose(&mut rand::rng()).cloned()
 }
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -97,7 +97,7 @@
 
 /// Whether other requests are held than the store says.
 fn holds_others(registration: &Registration, stands: &Stands) -> bool {
-    registration.fleet.borrow().own().held != stands.held
+    registration.fleet.borrow().own().quarantined != stands.held
 }
 
 /// Reads in the store which requests other nodes hold.
@@ -116,7 +116,7 @@
         let local = registration.local.borrow();
         local.current().is_none_or(|run| run.state == State::Gone)
     };
-    let holds = !registration.fleet.borrow().own().held.is_empty();
+    let holds = !registration.fleet.borrow().own().quarantined.is_empty();
     if holds || !gone(registration) {
         // A record that names requests which are held stays, for those who start later.
         return;
@@ -299,7 +299,7 @@
         self.revision = Some(revision);
         self.peers = record.peers.clone();
         self.upstream = record.upstream.as_ref().map(Instance::incarnation);
-        self.held = record.held.clone();
+        self.held = record.quarantined.clone();
     }
 }
 
@@ -307,7 +307,7 @@
 fn succeed(node: &Rc<Node>, registration: &Rc<Registration>, earlier: Record) {
     let own = registration.fleet.borrow().own().version;
     if earlier.version >= own {
-        let own = registration.fleet.borrow_mut().rise_above(earlier.version);
+        let own = registration.fleet.borrow_mut().supersede(earlier.version);
         audit::own_record(&own);
         peers::tell_all(node, registration, &own);
     }
@@ -324,7 +324,7 @@
     if record.vm != object.name {
         return Err(bad(format!("it names the VM {}", record.vm)));
     }
-    if !record.version.is_reachable() {
+    if !record.version.is_plausible() {
         return Err(bad(format!(
             "no node comes as far as version {}.{}",
             record.version.generation, record.version.change
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -47,7 +47,7 @@
         return;
     };
     let mut fleet = registration.fleet.borrow_mut();
-    let is_news = fleet.upstream_leaves(vm, incarnation);
+    let is_news = fleet.set_upstream_draining(vm, incarnation);
     if is_news && *vm != node.cfg.vm {
         audit::leaving_noticed(incarnation, vm);
     }
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -51,13 +51,13 @@
     }
 
     /// Takes in the boot that answered for a VM. Returns whether another boot stood there before.
-    pub fn met(&mut self, vm: &Name, boot: BootId) -> bool {
+    pub fn record_boot(&mut self, vm: &Name, boot: BootId) -> bool {
         let before = self.boots.insert(vm.clone(), boot);
         before.is_some_and(|before| before != boot)
     }
 
     /// Takes in that the given boot of a VM is leaving. A later boot of the VM is not meant.
-    pub fn leaving(&mut self, vm: &Name, boot: BootId) {
+    pub fn mark_leaving(&mut self, vm: &Name, boot: BootId) {
         self.left.insert((vm.clone(), boot));
     }
 
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -40,9 +40,12 @@
     let mut view = View::default();
     let name = Name::from("a");
     view.update(list(1, vec![vm("a", "north", false)]));
-    view.met(&name, BootId(1));
-    view.leaving(&name, BootId(1));
+    view.record_boot(&name, BootId(1));
+    view.mark_leaving(&name, BootId(1));
     assert!(view.is_leaving(&name));
-    assert!(view.met(&name, BootId(2)), "another boot stands there now");
+    assert!(
+        view.record_boot(&name, BootId(2)),
+        "another boot stands there now"
+    );
     assert!(!view.is_leaving(&name));
 }
--- a/components/names/src/lib.rs
+++ b/components/names/src/lib.rs
@@ -50,7 +50,7 @@
 
 impl BootId {
     /// Draws a new identifier from the system's random source.
-    pub fn draw() -> BootId {
+    pub fn random() -> BootId {
         BootId(rand::random())
     }
 }
--- a/components/registry/src/digest.rs
+++ b/components/registry/src/digest.rs
@@ -11,7 +11,7 @@
 /// Buckets: at 300 nodes about five records in each, at the users' largest target 24.
 pub const BUCKETS: usize = 64;
 /// Bytes of one bucket's digest.
-const MARK_BYTES: usize = 4;
+const DIGEST_BYTES: usize = 4;
 
 /// Which buckets, one bit each.
 pub type BucketSet = u64;
@@ -29,29 +29,29 @@
 impl Digests {
     /// Takes a record in, or out again.
     pub(crate) fn toggle(&mut self, record: &Record) {
-        self.0[bucket(&record.vm)] ^= mark(record);
+        self.0[bucket(&record.vm)] ^= record_digest(record);
     }
 
     /// One digest of all: nodes that know the same have the same.
-    pub fn whole(&self) -> u64 {
+    pub fn combined(&self) -> u64 {
         let hash = Sha256::digest(self.to_bytes());
-        u64::from(first_u32(&hash)) << 32 | u64::from(first_u32(&hash[MARK_BYTES..]))
+        u64::from(first_u32(&hash)) << 32 | u64::from(first_u32(&hash[DIGEST_BYTES..]))
     }
 
     /// As they are sent.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let marks = self.0.iter();
-        marks.flat_map(|mark| mark.to_le_bytes()).collect()
+        let digests = self.0.iter();
+        digests.flat_map(|digest| digest.to_le_bytes()).collect()
     }
 
     /// As they came; none when these are no digests.
     pub fn from_bytes(bytes: &[u8]) -> Option<Digests> {
-        if bytes.len() != BUCKETS * MARK_BYTES {
+        if bytes.len() != BUCKETS * DIGEST_BYTES {
             return None;
         }
         let mut digests = Digests::default();
-        for (mark, bytes) in digests.0.iter_mut().zip(bytes.chunks_exact(MARK_BYTES)) {
-            *mark = first_u32(bytes);
+        for (digest, bytes) in digests.0.iter_mut().zip(bytes.chunks_exact(DIGEST_BYTES)) {
+            *digest = first_u32(bytes);
         }
         Some(digests)
     }
@@ -76,7 +76,7 @@
 }
 
 /// Tells a record from any other: by all that it says, since somebody else may have changed it under its version.
-pub(crate) fn mark(record: &Record) -> u32 {
+pub(crate) fn record_digest(record: &Record) -> u32 {
     let mut hasher = Sha256::new();
     let mut text = |text: &str| {
         hasher.update(text.as_bytes());
@@ -97,7 +97,7 @@
     hasher.update(record.version.generation.to_le_bytes());
     hasher.update(record.version.change.to_le_bytes());
     hasher.update([u8::from(record.serving)]);
-    for held in &record.held {
+    for held in &record.quarantined {
         hasher.update(held.to_string().as_bytes());
     }
     first_u32(&hasher.finalize())
--- a/components/registry/src/fleet.rs
+++ b/components/registry/src/fleet.rs
@@ -8,19 +8,19 @@
 
 /// What became of a record that was offered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// Newer than what was known; the record before it, if there was one.
-    Taken(Option<Record>),
+    Applied(Option<Record>),
     /// As known.
     Same,
     /// Older than what is known.
     Older,
     /// No node can have come so far: another writer's, or spoiled.
-    Unreachable,
+    ImplausibleVersion,
     /// As new as what is known, of the same start, and different: somebody else wrote one of the two.
-    Differs,
+    Conflict,
     /// Another start of this node's own VM, or another writer, claims a version that isn't below this node's.
-    Own(Version),
+    OwnConflict(Version),
 }
 
 /// The fleet as one node knows it.
@@ -66,14 +66,14 @@
     }
 
     /// Starts a new generation of this node's own record above `seen`. Returns the new record.
-    pub fn rise_above(&mut self, seen: Version) -> Record {
+    pub fn supersede(&mut self, seen: Version) -> Record {
         self.change_own(|own| own.version.generation = seen.generation + 1)
     }
 
     /// Takes in a record from the store or from another node.
-    pub fn merge(&mut self, record: Record) -> Merged {
-        if !record.version.is_reachable() {
-            return Merged::Unreachable;
+    pub fn merge(&mut self, record: Record) -> MergeOutcome {
+        if !record.version.is_plausible() {
+            return MergeOutcome::ImplausibleVersion;
         }
         let known = self.records.get(&record.vm);
         if record.vm == self.me {
@@ -81,20 +81,22 @@
             // Whoever wrote it: what isn't this node's own word, and others would take for it, is said anew above it.
             let foreign = record != *own && record.version >= own.version;
             return if foreign {
-                Merged::Own(record.version)
+                MergeOutcome::OwnConflict(record.version)
             } else {
-                Merged::Older
+                MergeOutcome::Older
             };
         }
         match known {
-            Some(known) if record.version < known.version => Merged::Older,
+            Some(known) if record.version < known.version => MergeOutcome::Older,
             // A later start of the VM, which does not know of the one before: it is told, and counts on.
             Some(known) if record.version == known.version && record.boot != known.boot => {
-                Merged::Older
+                MergeOutcome::Older
             }
-            Some(known) if record.version == known.version && record != *known => Merged::Differs,
-            Some(known) if record.version == known.version => Merged::Same,
-            _ => Merged::Taken(self.put(record)),
+            Some(known) if record.version == known.version && record != *known => {
+                MergeOutcome::Conflict
+            }
+            Some(known) if record.version == known.version => MergeOutcome::Same,
+            _ => MergeOutcome::Applied(self.put(record)),
         }
     }
 
@@ -114,7 +116,7 @@
     }
 
     /// The nodes of a hall, this one included when it is in it.
-    pub fn hall<'a>(&'a self, hall: &'a Name) -> impl Iterator<Item = &'a Record> {
+    pub fn in_hall<'a>(&'a self, hall: &'a Name) -> impl Iterator<Item = &'a Record> {
         self.records
             .values()
             .filter(move |record| record.hall == *hall)
@@ -137,7 +139,7 @@
     }
 
     /// Takes in that an answer said that this start of the upstream of `vm` leaves. Returns whether that is news.
-    pub fn upstream_leaves(&mut self, vm: &Name, incarnation: &Incarnation) -> bool {
+    pub fn set_upstream_draining(&mut self, vm: &Name, incarnation: &Incarnation) -> bool {
         let before = self.leaving.insert(vm.clone(), incarnation.clone());
         if self
             .records
@@ -154,7 +156,7 @@
         let upstream = record.upstream.as_ref();
         leaving
             .zip(upstream)
-            .is_some_and(|(leaving, upstream)| upstream.incarnation().is(leaving))
+            .is_some_and(|(leaving, upstream)| upstream.incarnation().matches(leaving))
     }
 
     /// Digests of all records.
@@ -163,7 +165,7 @@
     }
 
     /// Forgets a VM that is gone for good.
-    pub fn forget(&mut self, vm: &Name) {
+    pub fn remove(&mut self, vm: &Name) {
         if *vm != self.me {
             self.unlist(vm);
             self.leaving.remove(vm);
--- a/components/registry/src/incarnation.rs
+++ b/components/registry/src/incarnation.rs
@@ -15,7 +15,7 @@
 impl Incarnation {
     /// Whether this is the start `other`, as far as is known: one that doesn't say when it started is told apart
     /// by its identity alone.
-    pub fn is(&self, other: &Incarnation) -> bool {
+    pub fn matches(&self, other: &Incarnation) -> bool {
         let same_start = match (self.born_ms, other.born_ms) {
             (Some(mine), Some(theirs)) => mine == theirs,
             _ => true,
--- a/components/registry/src/lib.rs
+++ b/components/registry/src/lib.rs
@@ -13,13 +13,13 @@
 
 pub use beside::{ConfiguredUpstream, Declared, LocalService, Mismatch, Origin};
 pub use digest::{BucketSet, Digests, BUCKETS};
-pub use fleet::{Fleet, Merged};
+pub use fleet::{Fleet, MergeOutcome};
 pub use incarnation::Incarnation;
 pub use local::{
     Change, DepartureOutcome, Heartbeat, HeartbeatOutcome, LocalUpstream, CONFIRMATION_US,
 };
 pub use record::{Instance, Record, State, Version};
 pub use spread::{
-    can_wait, compare, contacts, far_contacts, is_passed_on, is_replaced, start_contacts,
-    told_of_change, versions, Comparison, Versions, CONTACTS,
+    announcement_targets, can_defer, compare, contacts, cross_hall_contacts, is_replaced,
+    should_forward, start_contacts, versions, Comparison, Versions, CONTACTS_PER_HALL,
 };
--- a/components/registry/src/local.rs
+++ b/components/registry/src/local.rs
@@ -101,7 +101,7 @@
     /// Whether `told` names the present start as it is known: its identity, service and address.
     pub fn is_current(&self, told: &Instance) -> bool {
         self.current.as_ref().is_some_and(|current| {
-            let is_same_start = current.incarnation().is(&told.incarnation());
+            let is_same_start = current.incarnation().matches(&told.incarnation());
             is_same_start && current.service == told.service && current.address == told.address
         })
     }
@@ -126,7 +126,7 @@
             return self.goes_on(now, heartbeat, current);
         }
         match current {
-            Some(current) if current.is(&incarnation) => self.again(heartbeat),
+            Some(current) if current.matches(&incarnation) => self.again(heartbeat),
             Some(current) if incarnation.claims_to_precede(&current) => {
                 self.precedes(now, heartbeat)
             }
@@ -138,7 +138,7 @@
     pub fn on_departure(&mut self, incarnation: &Incarnation) -> DepartureOutcome {
         let is_known = self.ended(incarnation).is_some();
         match self.current.as_mut() {
-            Some(current) if current.incarnation().is(incarnation) => {
+            Some(current) if current.incarnation().matches(incarnation) => {
                 let before = current.state;
                 current.state = State::Gone;
                 if before == State::Ready {
@@ -164,7 +164,7 @@
     /// say. Returns whether that changed anything.
     pub fn on_drain(&mut self, incarnation: &Incarnation) -> bool {
         match self.current.as_mut() {
-            Some(current) if current.incarnation().is(incarnation) => {
+            Some(current) if current.incarnation().matches(incarnation) => {
                 let was_ready = current.state == State::Ready;
                 current.state = current.state.max(State::Draining);
                 was_ready
@@ -195,7 +195,8 @@
         let incarnation = instance.incarnation();
         match self.current.as_mut() {
             Some(current)
-                if current.incarnation().is(&incarnation) && current.state < instance.state =>
+                if current.incarnation().matches(&incarnation)
+                    && current.state < instance.state =>
             {
                 current.state = instance.state;
                 true
@@ -218,7 +219,7 @@
         let matches = self
             .current
             .as_ref()
-            .is_some_and(|current| current.incarnation().is(incarnation));
+            .is_some_and(|current| current.incarnation().matches(incarnation));
         if matches {
             self.current = None;
         }
--- a/components/registry/src/record.rs
+++ b/components/registry/src/record.rs
@@ -83,7 +83,7 @@
 
 impl Version {
     /// Whether a node can have come so far.
-    pub fn is_reachable(self) -> bool {
+    pub fn is_plausible(self) -> bool {
         self.generation <= MOST_COUNTED && self.change <= MOST_COUNTED
     }
 }
@@ -115,7 +115,7 @@
     /// Requests that no upstream may see, because upstreams ended while they ran them; those of which this node
     /// saw an end. They stand here since every node reads the records when it starts.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
-    pub held: Vec<Fingerprint>,
+    pub quarantined: Vec<Fingerprint>,
 }
 
 impl Record {
--- a/components/registry/src/spread.rs
+++ b/components/registry/src/spread.rs
@@ -1,11 +1,11 @@
 //! How records spread: within a hall from each node to all, between halls through a few.
 //!
-//! A change is told to every node of the own hall and to [`CONTACTS`] nodes of each other hall, which
+//! A change is told to every node of the own hall and to [`CONTACTS_PER_HALL`] nodes of each other hall, which
 //! pass it on within theirs. What was lost on the way is found by comparison: a node tells the digest
 //! of what it knows, one that knows something else answers with the digests of the buckets, gets the
 //! versions in those that differ, and both get what they lack.
 
-use crate::digest::{is_in, mark, BucketSet};
+use crate::digest::{is_in, record_digest, BucketSet};
 use crate::fleet::Fleet;
 use crate::record::{Instance, Record, State, Version};
 use membership::rendezvous;
@@ -16,7 +16,7 @@
 
 /// Nodes of each other hall that are told of a change directly. Two, so that the loss of one during a
 /// change delays it to the next comparison only when both are lost.
-pub const CONTACTS: usize = 2;
+pub const CONTACTS_PER_HALL: usize = 2;
 
 /// Which record of each VM a node knows, of the VMs in some buckets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,25 +29,25 @@
     pub known: Vec<(Name, Version)>,
     /// What tells each of them from another one with its version, in the same order.
     #[serde(rename = "m", default)]
-    pub marks: Vec<u32>,
+    pub digests: Vec<u32>,
 }
 
 /// What follows from another node's versions.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Comparison {
     /// Records that the other node lacks.
-    pub news: Vec<Record>,
+    pub updates: Vec<Record>,
     /// Whether the other node knows something that this one lacks.
-    pub lacks: bool,
+    pub is_behind: bool,
 }
 
 /// The nodes that are told of this node's change: all of its hall, and contacts of each other hall
 /// among those that are not known to be `unreachable`.
-pub fn told_of_change(fleet: &Fleet, unreachable: impl Fn(&Name) -> bool) -> Vec<Name> {
+pub fn announcement_targets(fleet: &Fleet, unreachable: impl Fn(&Name) -> bool) -> Vec<Name> {
     let own_hall = &fleet.own().hall;
     let near = fleet.others().filter(|record| record.hall == *own_hall);
     let mut told: Vec<Name> = near.map(|record| record.vm.clone()).collect();
-    told.extend(far_contacts(fleet, CONTACTS, unreachable));
+    told.extend(cross_hall_contacts(fleet, CONTACTS_PER_HALL, unreachable));
     told
 }
 
@@ -69,7 +69,7 @@
     let room = count.saturating_sub(connected.len());
     let has_far = connected.iter().any(|record| record.hall != own.hall);
     let is_usable = |vm: &Name| !is_connected(vm) && !unreachable(vm);
-    let mut far = far_contacts(fleet, 1, |vm| !is_usable(vm));
+    let mut far = cross_hall_contacts(fleet, 1, |vm| !is_usable(vm));
     far.sort_by_cached_key(|vm| rendezvous(own.vm.as_str(), vm));
     let is_far_due = !has_far && !far.is_empty();
     let near_count = room.saturating_sub(usize::from(is_far_due));
@@ -82,10 +82,10 @@
 
 /// Whether the record of a node that starts may be told a moment later: nobody acts wrongly meanwhile. Not while the
 /// upstream leaves or has left, or requests are held.
-pub fn can_wait(own: &Record) -> bool {
+pub fn can_defer(own: &Record) -> bool {
     let upstream = own.upstream.as_ref();
     let is_ready = upstream.is_none_or(|run| run.state == State::Ready);
-    own.serving && is_ready && own.held.is_empty()
+    own.serving && is_ready && own.quarantined.is_empty()
 }
 
 /// Whether the upstream that a node named before is not the one that it names now. Others that know the earlier one go on
@@ -94,11 +94,15 @@
     let Some(before) = before.map(Instance::incarnation) else {
         return false;
     };
-    after.is_none_or(|after| !after.incarnation().is(&before))
+    after.is_none_or(|after| !after.incarnation().matches(&before))
 }
 
 /// Up to `count` contacts of each other hall among those that are not known to be `unreachable`.
-pub fn far_contacts(fleet: &Fleet, count: usize, unreachable: impl Fn(&Name) -> bool) -> Vec<Name> {
+pub fn cross_hall_contacts(
+    fleet: &Fleet,
+    count: usize,
+    unreachable: impl Fn(&Name) -> bool,
+) -> Vec<Name> {
     let own_hall = &fleet.own().hall;
     let others = fleet.others().map(|record| &record.hall);
     let halls: BTreeSet<&Name> = others.filter(|hall| *hall != own_hall).collect();
@@ -124,7 +128,7 @@
 
 /// Whether news from `sender` is passed on within the own hall: nodes of the hall tell all of it
 /// themselves.
-pub fn is_passed_on(fleet: &Fleet, sender: &Name) -> bool {
+pub fn should_forward(fleet: &Fleet, sender: &Name) -> bool {
     let own_hall = &fleet.own().hall;
     let known = fleet.record(sender);
     known.is_some_and(|record| record.hall != *own_hall)
@@ -133,25 +137,26 @@
 /// The version of every record known in these buckets, this node's own included.
 pub fn versions(fleet: &Fleet, buckets: BucketSet) -> Versions {
     let records = fleet.records().filter(|record| is_in(buckets, &record.vm));
-    let (known, marks) = records
-        .map(|record| ((record.vm.clone(), record.version), mark(record)))
+    let (known, digests) = records
+        .map(|record| ((record.vm.clone(), record.version), record_digest(record)))
         .unzip();
     Versions {
         buckets,
         known,
-        marks,
+        digests,
     }
 }
 
 /// Compares what another node knows with what this one does.
 pub fn compare(fleet: &Fleet, theirs: &Versions) -> Comparison {
-    let marks = theirs.marks.iter().map(Some).chain(iter::repeat(None));
-    let known = theirs.known.iter().zip(marks);
-    let known: HashMap<&Name, (Version, Option<&u32>)> =
-        known.map(|((vm, at), mark)| (vm, (*at, mark))).collect();
+    let digests = theirs.digests.iter().map(Some).chain(iter::repeat(None));
+    let known = theirs.known.iter().zip(digests);
+    let known: HashMap<&Name, (Version, Option<&u32>)> = known
+        .map(|((vm, at), record_digest)| (vm, (*at, record_digest)))
+        .collect();
     // Of the same version and not the same: both nodes learn of it.
     let differs = |record: &Record, (at, theirs): &(Version, Option<&u32>)| {
-        *at == record.version && theirs.is_some_and(|theirs| *theirs != mark(record))
+        *at == record.version && theirs.is_some_and(|theirs| *theirs != record_digest(record))
     };
     let is_news = |record: &&Record| {
         let at = known.get(&record.vm);
@@ -163,7 +168,7 @@
         mine.is_none_or(|record| record.version < at.0 || differs(record, at))
     };
     Comparison {
-        news: fleet.records().filter(is_news).cloned().collect(),
-        lacks: known.iter().any(lacks),
+        updates: fleet.records().filter(is_news).cloned().collect(),
+        is_behind: known.iter().any(lacks),
     }
 }
--- a/components/registry/tests/registry.rs
+++ b/components/registry/tests/registry.rs
@@ -3,7 +3,7 @@
 use names::{BootId, Moment, Name};
 use registry::{
     Change, DepartureOutcome, Fleet, Heartbeat, HeartbeatOutcome, Incarnation, Instance,
-    LocalUpstream, Merged, Record, State, Version, CONFIRMATION_US,
+    LocalUpstream, MergeOutcome, Record, State, Version, CONFIRMATION_US,
 };
 
 fn instance(id: &str, state: State) -> Instance {
@@ -61,7 +61,7 @@
         version: Version { generation, change },
         serving: true,
         upstream,
-        held: Vec::new(),
+        quarantined: Vec::new(),
     }
 }
 
@@ -281,12 +281,12 @@
 fn only_a_newer_record_is_taken_and_only_ready_upstreams_are_listed() {
     let mut fleet = Fleet::new(record("me", 1, 0, None));
     let ready = record("b", 2, 1, Some(instance("x", State::Ready)));
-    assert_eq!(fleet.merge(ready.clone()), Merged::Taken(None));
-    assert_eq!(fleet.merge(ready.clone()), Merged::Same);
-    assert_eq!(fleet.merge(record("b", 1, 9, None)), Merged::Older);
+    assert_eq!(fleet.merge(ready.clone()), MergeOutcome::Applied(None));
+    assert_eq!(fleet.merge(ready.clone()), MergeOutcome::Same);
+    assert_eq!(fleet.merge(record("b", 1, 9, None)), MergeOutcome::Older);
     assert_eq!(listed(&fleet), ["b"]);
     let drains = record("b", 2, 2, Some(instance("x", State::Draining)));
-    assert_eq!(fleet.merge(drains), Merged::Taken(Some(ready)));
+    assert_eq!(fleet.merge(drains), MergeOutcome::Applied(Some(ready)));
     assert!(listed(&fleet).is_empty());
 }
 
@@ -297,10 +297,13 @@
         boot: BootId(77),
         ..record("me", 4, 2, None)
     };
-    assert_eq!(fleet.merge(earlier.clone()), Merged::Own(earlier.version));
-    let own = fleet.rise_above(earlier.version);
+    assert_eq!(
+        fleet.merge(earlier.clone()),
+        MergeOutcome::OwnConflict(earlier.version)
+    );
+    let own = fleet.supersede(earlier.version);
     assert!(own.version > earlier.version);
-    assert_eq!(fleet.merge(earlier), Merged::Older);
+    assert_eq!(fleet.merge(earlier), MergeOutcome::Older);
 }
 
 #[test]
@@ -312,13 +315,16 @@
     // The later start was not told of the earlier one, and its record has come as far.
     let mut second = record("vm", 2, 2, Some(instance("a", State::Ready)));
     second.boot = BootId(12);
-    assert_eq!(fleet.merge(second.clone()), Merged::Older);
+    assert_eq!(fleet.merge(second.clone()), MergeOutcome::Older);
     assert_eq!(fleet.record(&first.vm), Some(&first));
     // Told of it, the later start goes above it.
     let mut own = Fleet::new(second);
-    assert_eq!(own.merge(first.clone()), Merged::Own(first.version));
-    let risen = own.rise_above(first.version);
-    assert!(matches!(fleet.merge(risen), Merged::Taken(_)));
+    assert_eq!(
+        own.merge(first.clone()),
+        MergeOutcome::OwnConflict(first.version)
+    );
+    let risen = own.supersede(first.version);
+    assert!(matches!(fleet.merge(risen), MergeOutcome::Applied(_)));
 }
 
 #[test]
@@ -341,7 +347,7 @@
     for (generation, change) in [(u64::MAX, 0), (far, 0), (2, far)] {
         for vm in ["me", "other"] {
             let offered = record(vm, generation, change, None);
-            assert_eq!(fleet.merge(offered), Merged::Unreachable);
+            assert_eq!(fleet.merge(offered), MergeOutcome::ImplausibleVersion);
         }
     }
     assert_eq!(fleet.len(), 1);
@@ -356,15 +362,18 @@
     };
     let mut other = Fleet::new(record("me", 1, 0, None));
     other.merge(known.clone());
-    assert_eq!(other.merge(changed.clone()), Merged::Differs);
+    assert_eq!(other.merge(changed.clone()), MergeOutcome::Conflict);
     assert_eq!(other.record(&known.vm), Some(&known));
     // Its own node says anew what holds, whatever start the other one claims to be of.
     let mut own = Fleet::new(known.clone());
-    assert_eq!(own.merge(known.clone()), Merged::Older);
-    assert_eq!(own.merge(changed), Merged::Own(known.version));
+    assert_eq!(own.merge(known.clone()), MergeOutcome::Older);
+    assert_eq!(own.merge(changed), MergeOutcome::OwnConflict(known.version));
     let later = record("vm", 2, 9, None);
-    assert_eq!(own.merge(later.clone()), Merged::Own(later.version));
-    assert!(own.rise_above(later.version).version > later.version);
+    assert_eq!(
+        own.merge(later.clone()),
+        MergeOutcome::OwnConflict(later.version)
+    );
+    assert!(own.supersede(later.version).version > later.version);
 }
 
 #[test]
@@ -398,11 +407,11 @@
     fleet.merge(record("vm-1", 1, 0, start("a")));
     fleet.merge(record("vm-2", 1, 0, start("b")));
     assert_eq!(ready(&fleet), 2);
-    let digest = fleet.digests().whole();
-    assert!(fleet.upstream_leaves(&Name::from("vm-1"), &incarnation("a")));
-    assert!(!fleet.upstream_leaves(&Name::from("vm-1"), &incarnation("a")));
+    let digest = fleet.digests().combined();
+    assert!(fleet.set_upstream_draining(&Name::from("vm-1"), &incarnation("a")));
+    assert!(!fleet.set_upstream_draining(&Name::from("vm-1"), &incarnation("a")));
     assert_eq!(ready(&fleet), 1);
-    assert_eq!(fleet.digests().whole(), digest);
+    assert_eq!(fleet.digests().combined(), digest);
     fleet.merge(record("vm-1", 2, 0, start("a")));
     assert_eq!(ready(&fleet), 1);
     fleet.merge(record("vm-1", 2, 1, start("c")));
--- a/components/registry/tests/spread.rs
+++ b/components/registry/tests/spread.rs
@@ -3,8 +3,8 @@
 use names::{BootId, Name};
 use proptest::prelude::*;
 use registry::{
-    compare, contacts, is_passed_on, told_of_change, versions, Digests, Fleet, Merged, Record,
-    Version, CONTACTS,
+    announcement_targets, compare, contacts, should_forward, versions, Digests, Fleet,
+    MergeOutcome, Record, Version, CONTACTS_PER_HALL,
 };
 use std::collections::VecDeque;
 
@@ -24,7 +24,7 @@
         },
         serving: true,
         upstream: None,
-        held: Vec::new(),
+        quarantined: Vec::new(),
     }
 }
 
@@ -63,7 +63,7 @@
         }
         let sender = vm(from);
         let merged = fleets[to].merge(record.clone());
-        if !matches!(merged, Merged::Taken(_)) || !is_passed_on(&fleets[to], &sender) {
+        if !matches!(merged, MergeOutcome::Applied(_)) || !should_forward(&fleets[to], &sender) {
             continue;
         }
         let hall = fleets[to].own().hall.clone();
@@ -77,7 +77,7 @@
 /// Changes the record of a node and tells it.
 fn change(fleets: &mut [Fleet], index: usize, lost: impl FnMut() -> bool) -> usize {
     let record = fleets[index].change_own(|own| own.serving = !own.serving);
-    let told = told_of_change(&fleets[index], |_| false);
+    let told = announcement_targets(&fleets[index], |_| false);
     let waiting = told
         .iter()
         .map(|to| (index, index_of(to), record.clone()))
@@ -95,15 +95,15 @@
     let differing = fleets[asker].digests().differing(&told);
     let for_other_versions = versions(&fleets[asker], differing);
     let for_asker = compare(&fleets[other], &for_other_versions);
-    merge_all(&mut fleets[asker], for_asker.news);
-    if for_asker.lacks {
+    merge_all(&mut fleets[asker], for_asker.updates);
+    if for_asker.is_behind {
         let for_other = compare(&fleets[asker], &versions(&fleets[other], differing));
-        merge_all(&mut fleets[other], for_other.news);
+        merge_all(&mut fleets[other], for_other.updates);
     }
 }
 
 fn digest(fleet: &Fleet) -> u64 {
-    fleet.digests().whole()
+    fleet.digests().combined()
 }
 
 fn merge_all(fleet: &mut Fleet, news: Vec<Record>) {
@@ -116,7 +116,7 @@
 fn a_change_reaches_every_node_and_crosses_to_each_hall_a_few_times() {
     let mut fleets = fleets(60, 4);
     let crossings = change(&mut fleets, 7, || false);
-    assert_eq!(crossings, 3 * CONTACTS);
+    assert_eq!(crossings, 3 * CONTACTS_PER_HALL);
     let first = digest(&fleets[0]);
     assert!(fleets.iter().all(|fleet| digest(fleet) == first));
 }
@@ -126,10 +126,10 @@
     let fleets = fleets(12, 3);
     let far = Name::from("hall-1");
     let down = contacts(&fleets[0], &far)[0].clone();
-    let told = told_of_change(&fleets[0], |vm| *vm == down);
+    let told = announcement_targets(&fleets[0], |vm| *vm == down);
     assert!(!told.contains(&down));
     let in_far = told.iter().filter(|vm| index_of(vm) % 3 == 1);
-    assert_eq!(in_far.count(), CONTACTS);
+    assert_eq!(in_far.count(), CONTACTS_PER_HALL);
 }
 
 #[test]
@@ -163,7 +163,7 @@
     let stranger = record(77, 2);
     fleet.merge(stranger.clone());
     assert_ne!(*fleet.digests(), before);
-    fleet.forget(&stranger.vm);
+    fleet.remove(&stranger.vm);
     assert_eq!(*fleet.digests(), before);
 }
 
@@ -173,7 +173,7 @@
     let far = Name::from("hall-1");
     let mut asked = vec![0; 60];
     for fleet in fleets.iter().filter(|fleet| fleet.own().hall != far) {
-        for contact in contacts(fleet, &far).iter().take(CONTACTS) {
+        for contact in contacts(fleet, &far).iter().take(CONTACTS_PER_HALL) {
             asked[index_of(contact)] += 1;
         }
     }
@@ -225,10 +225,10 @@
     let differing = knows.digests().differing(other.digests());
     assert_ne!(differing, 0);
     let at_other = compare(&other, &versions(knows, differing));
-    assert!(at_other.lacks);
-    assert!(at_other.news.contains(&changed));
+    assert!(at_other.is_behind);
+    assert!(at_other.updates.contains(&changed));
     let at_knows = compare(knows, &versions(&other, differing));
-    assert!(at_knows.lacks);
-    assert!(at_knows.news.contains(&record(3, 2)));
-    assert_eq!(knows.merge(changed), Merged::Differs);
+    assert!(at_knows.is_behind);
+    assert!(at_knows.updates.contains(&record(3, 2)));
+    assert_eq!(knows.merge(changed), MergeOutcome::Conflict);
 }
--- a/components/registry/tests/start.rs
+++ b/components/registry/tests/start.rs
@@ -1,7 +1,7 @@
 //! Whom a node that starts asks first, and which of its records may wait.
 
 use names::{BootId, Name};
-use registry::{can_wait, is_replaced, start_contacts, Fleet, Instance, Record, State, Version};
+use registry::{can_defer, is_replaced, start_contacts, Fleet, Instance, Record, State, Version};
 
 fn record(index: usize, halls: usize) -> Record {
     Record {
@@ -15,7 +15,7 @@
         },
         serving: true,
         upstream: None,
-        held: Vec::new(),
+        quarantined: Vec::new(),
     }
 }
 
@@ -99,15 +99,15 @@
 /// Guards against requests for a drained upstream, and against a connection to the whole hall for each record at a start.
 #[test]
 fn only_a_record_by_which_the_upstream_takes_work_or_none_is_known_may_wait() {
-    assert!(can_wait(&naming(None)));
-    assert!(can_wait(&naming(Some(upstream("i-1", State::Ready)))));
-    assert!(!can_wait(&naming(Some(upstream("i-1", State::Draining)))));
-    assert!(!can_wait(&naming(Some(upstream("i-1", State::Gone)))));
+    assert!(can_defer(&naming(None)));
+    assert!(can_defer(&naming(Some(upstream("i-1", State::Ready)))));
+    assert!(!can_defer(&naming(Some(upstream("i-1", State::Draining)))));
+    assert!(!can_defer(&naming(Some(upstream("i-1", State::Gone)))));
     let leaving = Record {
         serving: false,
         ..naming(None)
     };
-    assert!(!can_wait(&leaving));
+    assert!(!can_defer(&leaving));
 }
 
 /// Guards against a record that waits although the upstream which it no longer names still gets requests.
