--- a/components/entry/src/hedging.rs
+++ b/components/entry/src/hedging.rs
@@ -1,36 +1,34 @@
-//! What was decided of second attempts, for logs and counters.
+//! Decisions about hedged attempts, for logs and counters.
 
 use names::{AttemptId, Name, MILLISECOND};
 
-/// Time an entry node leaves for the way back, so that a refusal at the deadline still arrives in
-/// time: two crossings and some slack, in microseconds.
+/// Time that an entry node reserves for the way back, so that a refusal at the deadline still
+/// arrives in time: two crossings between halls and some slack, in microseconds.
 pub const RETURN_TIME_US: u64 = 3 * MILLISECOND;
 
-/// What was decided of a second attempt, or came of it.
+/// A decision about a hedged attempt, or its result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HedgeDecision {
-    /// A second attempt was made.
     Made,
-    /// The second attempt brought the answer.
+    /// The hedged attempt gave the answer.
     WonByHedge,
-    /// The first attempt brought the answer.
+    /// The first attempt gave the answer.
     WonByFirst,
-    /// No second attempt was made.
+    /// No hedged attempt was made.
     Refused(HedgeRefusal),
 }
 
-/// Why no second attempt was made.
+/// Why no hedged attempt was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HedgeRefusal {
-    /// The request may not run once more, or an upstream ended while it ran the request or a copy of it.
+    /// The request may not run again, or an upstream terminated while it ran the request or a copy.
     NotAllowed,
-    /// The service is short of slots.
+    /// An offer of the service was recently refused for lack of a slot.
     ShortOfSlots,
     /// No other upstream of the hall may have a free slot.
     NoUpstream,
-    /// A run of usual length would not end before the deadline.
+    /// A run of the expected length would not end before the deadline.
     TooLate,
-    /// The service's retry budget has no room.
     BudgetExhausted,
 }
 
@@ -45,7 +43,7 @@
         }
     }
 
-    /// Why it was refused, in the same form; a dash where it was not.
+    /// The reason of a refusal in the same form; a dash for other decisions.
     pub fn reason(self) -> &'static str {
         match self {
             HedgeDecision::Refused(HedgeRefusal::NotAllowed) => "not-allowed",
@@ -58,26 +56,25 @@
     }
 }
 
-/// A decision with what it was made from, for logs.
+/// A decision with its inputs, for logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hedge {
-    /// What was decided.
     pub decision: HedgeDecision,
     /// The attempt that straggled.
     pub first: AttemptId,
-    /// The attempt made beside it.
+    /// The hedged attempt, if one was made.
     pub hedged: Option<AttemptId>,
-    /// Where the second attempt goes, or would have gone.
+    /// The upstream selected for the hedged attempt, even if none was made.
     pub to: Option<Name>,
     /// Time since the first attempt was offered, in microseconds.
     pub since_offer_us: u64,
     /// Time left until the caller's deadline, in microseconds.
     pub remaining_us: u64,
-    /// Expected time of a second run, in microseconds; none where no upstream was chosen.
+    /// Expected run time of the hedged attempt, in microseconds; none if no upstream was selected.
     pub expected_us: Option<u64>,
-    /// Age of what was known of the chosen upstream, in microseconds.
+    /// Age of the latest report of the selected upstream, in microseconds.
     pub load_age_us: Option<u64>,
-    /// Time since the last refusal as busy of an offer of this service that might queue, in microseconds; none when
-    /// there was none.
+    /// Time since an offer of the service that might queue was last refused as busy, in
+    /// microseconds; none if there was no such refusal.
     pub since_busy_us: Option<u64>,
 }
--- a/components/entry/src/retry.rs
+++ b/components/entry/src/retry.rs
@@ -1,64 +1,65 @@
-//! The retry budget of one service.
+//! Retry budget of one service.
 //!
-//! The bound holds for the whole fleet and in every window: at most a share of the service's requests,
-//! and a slack beyond it, may reach an upstream a second time. Each node deposits a share for each
-//! request that it takes from a client and saves a part of the slack. A new budget is empty: nodes that
-//! start anew would otherwise bring a slack with them each time.
+//! The bound applies to the entire fleet and to every window: the requests that reach an upstream
+//! again are at most a ratio of the service's requests, plus a slack. Each node deposits that ratio
+//! for each request that it accepts from a client, and its balance is limited to its share of the
+//! slack. A new budget is empty; otherwise each restart of a node would add slack.
 
-/// Share of a repeat deposited for each request where no bound is set.
-const DEPOSIT: f64 = 0.1;
-/// Repeats that may accumulate where no bound is set.
-const MOST_SAVED: f64 = 10.0;
-/// Part of the fleet's bound that is given out. The rest covers calls made for repeats, which are
-/// counted after they were made, and requests that no node took in.
-const GIVEN_OUT: f64 = 0.75;
-/// A node that knows fewer nodes than this, because it has just started or is cut off, shares the slack
-/// as if there were so many.
-const LEAST_NODES: usize = 8;
+/// Fraction of a repeat deposited for each request where no bound is set.
+const DEFAULT_DEPOSIT: f64 = 0.1;
+/// Maximum balance where no bound is set, in repeats.
+const DEFAULT_MAX_BALANCE: f64 = 10.0;
+/// Fraction of the fleet's bound that is allocated to nodes. The rest covers calls made for
+/// repeats, which are charged only after they were made, and requests that no node accepted.
+const ALLOCATED_FRACTION: f64 = 0.75;
+/// Minimum number of nodes by which the slack is divided: a node that has just started or lost its
+/// connections knows only a few.
+const MIN_NODES: usize = 8;
 
-/// How repeats are earned.
+/// Deposits and maximum balance of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Share of a repeat deposited for each request of a client.
+    /// Fraction of a repeat deposited for each request of a client.
     pub deposit_per_request: f64,
-    /// Repeats that may accumulate.
+    /// Maximum balance, in repeats.
     pub max_balance: f64,
 }
 
 impl Default for RetryBudgetConfig {
     fn default() -> RetryBudgetConfig {
         RetryBudgetConfig {
-            deposit_per_request: DEPOSIT,
-            max_balance: MOST_SAVED,
+            deposit_per_request: DEFAULT_DEPOSIT,
+            max_balance: DEFAULT_MAX_BALANCE,
         }
     }
 }
 
 impl RetryBudgetConfig {
-    /// A node's share of a bound that holds for the whole fleet: within a window no more than
-    /// `ratio` of the requests and `slack` beyond that.
+    /// One node's share of a bound on the entire fleet: repeats within a window are at most `ratio`
+    /// of the requests, plus `slack`.
     pub fn node_share(ratio: f64, slack: f64, nodes: usize) -> RetryBudgetConfig {
         RetryBudgetConfig {
-            deposit_per_request: ratio * GIVEN_OUT,
-            max_balance: slack * GIVEN_OUT / nodes.max(LEAST_NODES) as f64,
+            deposit_per_request: ratio * ALLOCATED_FRACTION,
+            max_balance: slack * ALLOCATED_FRACTION / nodes.max(MIN_NODES) as f64,
         }
     }
 }
 
-/// Allows repeats as a fraction of requests.
+/// Permits repeats as a fraction of requests.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
-    /// Repeats that may be made; below zero after calls for repeats, which are not asked.
+    /// Repeats that may be made. Negative after calls made for repeats, which are charged without a
+    /// check.
     balance: f64,
 }
 
 impl RetryBudget {
-    /// Takes in a request of a client.
+    /// Makes the deposit for one request of a client.
     pub fn deposit(&mut self, config: RetryBudgetConfig) {
         self.balance = (self.balance + config.deposit_per_request).min(config.max_balance.max(1.0));
     }
 
-    /// Takes one repeat out of the budget; false when there is none left.
+    /// Withdraws one repeat; false when the balance is too low.
     pub fn spend(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -67,17 +68,16 @@
         true
     }
 
-    /// Takes one repeat out in any case: a call made for a repeat is one itself.
+    /// Withdraws one repeat whatever the balance: a call made for a repeat is itself a repeat.
     pub fn charge(&mut self) {
         self.balance -= 1.0;
     }
 
-    /// Gives back a repeat that reached no upstream.
+    /// Returns a repeat that reached no upstream.
     pub fn refund(&mut self) {
         self.balance += 1.0;
     }
 
-    /// Whether a repeat could be made now.
     pub fn can_spend(&self) -> bool {
         self.balance >= 1.0
     }
--- a/components/entry/src/shared.rs
+++ b/components/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all calls of one node share.
+//! State shared by all calls of one node.
 
 use crate::choice::{choose, Candidate, SelectionRule, UpstreamView};
 use crate::price::Price;
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 use std::collections::{HashMap, HashSet};
 
-/// How long an upstream whose node did not answer is avoided, in microseconds.
+/// How long an upstream with an unresponsive node is avoided, in microseconds.
 const UNRESPONSIVE_US: u64 = SECOND;
 
 /// State shared by the calls of one entry duty.
@@ -22,7 +22,7 @@
     rule: SelectionRule,
     views: HashMap<Name, UpstreamView>,
     budgets: HashMap<Name, RetryBudget>,
-    /// Services that the upstream beside this node calls.
+    /// Services that the local upstream calls.
     dependencies: HashSet<Name>,
     shortage: Shortage,
     retry_config: RetryBudgetConfig,
@@ -30,7 +30,8 @@
 }
 
 impl Entry {
-    /// A new entry duty of the given boot, choosing by `rule` with a generator seeded by `seed`.
+    /// An entry duty of the given boot. `seed` is the seed of the random generator that `rule`
+    /// uses.
     pub fn new(boot: BootId, rule: SelectionRule, seed: u64) -> Entry {
         Entry {
             boot,
@@ -45,12 +46,11 @@
         }
     }
 
-    /// The rule in use.
     pub fn rule(&self) -> SelectionRule {
         self.rule
     }
 
-    /// Takes in a report of a home duty.
+    /// Applies a load report of the upstream's home duty.
     pub fn on_report(&mut self, now: Moment, vm: &Name, load: Load) {
         let view = self.view_mut(vm);
         view.known_limit = known_limit(view, &load);
@@ -59,28 +59,29 @@
         view.offers_since_report = 0;
     }
 
-    /// Marks an upstream as leaving or staying, whoever said so.
-    pub fn set_draining(&mut self, now: Moment, vm: &Name, leaving: bool) {
+    /// Marks an upstream as draining, or as no longer draining.
+    pub fn set_draining(&mut self, now: Moment, vm: &Name, draining: bool) {
         let view = self.view_mut(vm);
         view.reported_at = now;
         let mut load = view.load.unwrap_or_default();
-        load.leaving = leaving;
+        load.leaving = draining;
         view.load = Some(load);
     }
 
-    /// Avoids an upstream whose node does not answer.
+    /// Avoids an upstream for a while because its node does not answer.
     pub fn mark_unresponsive(&mut self, now: Moment, vm: &Name) {
         self.view_mut(vm).unresponsive_until = now + UNRESPONSIVE_US;
     }
 
-    /// Ends the suspicion against an upstream whose node answered.
+    /// Stops avoiding an upstream, because its node has answered.
     pub fn mark_responsive(&mut self, vm: &Name) {
         if let Some(view) = self.views.get_mut(vm) {
             view.unresponsive_until = Moment(0);
         }
     }
 
-    /// Drops all knowledge of a VM, for example when another boot took its place.
+    /// Drops the reports of a VM, for example after a restart of its node. Its request limit stays
+    /// known.
     pub fn forget(&mut self, vm: &Name) {
         if let Some(view) = self.views.get_mut(vm) {
             view.load = None;
@@ -89,45 +90,46 @@
         }
     }
 
-    /// What is known of a VM.
+    /// What is known about a VM.
     pub fn view(&self, vm: &Name) -> UpstreamView {
         self.views.get(vm).cloned().unwrap_or_default()
     }
 
-    /// Whether a fresh report says that no slot of the upstream was free.
+    /// See [`UpstreamView::is_full`].
     pub(crate) fn is_full(&self, now: Moment, vm: &Name) -> bool {
         self.views.get(vm).is_some_and(|view| view.is_full(now))
     }
 
-    /// Whether the upstream is known to leave.
+    /// See [`UpstreamView::is_draining`].
     pub(crate) fn is_draining(&self, now: Moment, vm: &Name) -> bool {
         self.views.get(vm).is_some_and(|view| view.is_draining(now))
     }
 
-    /// Whether the node beside the upstream is taken as not answering.
+    /// Whether the upstream's local node counts as unresponsive.
     pub(crate) fn is_unresponsive(&self, now: Moment, vm: &Name) -> bool {
         self.views
             .get(vm)
             .is_some_and(|view| view.is_unresponsive(now))
     }
 
-    /// Takes in that an offer that might queue was refused because the upstream was busy.
+    /// Records that an offer that might queue was refused as busy.
     pub(crate) fn on_busy_refusal(&mut self, now: Moment, service: &Name) {
         self.shortage.on_refusal(now, service);
     }
 
-    /// Takes in that a call has left an attempt that might queue, without word of its end.
+    /// Records that a call has abandoned an attempt that might queue, before it knew its outcome.
     pub(crate) fn on_abandoned(&mut self, id: AttemptId, service: &Name) {
         self.shortage.on_abandoned(id, service);
     }
 
-    /// Takes in a refusal that arrives after its call has left the attempt. Returns whether it says that the service
-    /// is short of slots.
+    /// Handles a refusal that arrives after its call has abandoned the attempt. Returns whether it
+    /// shows that the service is short of slots.
     pub fn on_late_refusal(&mut self, now: Moment, id: AttemptId, refusal: &Refusal) -> bool {
         self.shortage.on_late_refusal(now, id, refusal)
     }
 
-    /// Time since an offer of the service that might queue was refused as busy, in microseconds; none when none was.
+    /// Time since an offer of the service that might queue was last refused as busy, in
+    /// microseconds; none if there was no such refusal.
     pub(crate) fn since_busy_us(&self, now: Moment, service: &Name) -> Option<u64> {
         self.shortage.since_us(now, service)
     }
@@ -171,12 +173,12 @@
         view.outstanding = view.outstanding.saturating_sub(1);
     }
 
-    /// Sets how retries are earned from now on.
+    /// Sets the parameters of later deposits to retry budgets.
     pub fn set_retry_config(&mut self, config: RetryBudgetConfig) {
         self.retry_config = config;
     }
 
-    /// Takes in a request of a client for the service.
+    /// Makes the deposit for a client's request to the service.
     pub(crate) fn deposit_retry(&mut self, service: &Name) {
         let config = self.retry_config;
         self.budget(service).deposit(config);
@@ -190,20 +192,20 @@
         self.budget(service).refund();
     }
 
-    /// Takes in a call to the service that is made for a repeat.
+    /// Charges a call to the service that is made for a repeat.
     pub(crate) fn charge_retry(&mut self, service: &Name) {
         self.budget(service).charge();
     }
 
-    /// Takes in that the upstream beside this node calls `service` for requests that it runs.
+    /// Records that the local upstream calls `service` for requests that it runs.
     pub fn add_dependency(&mut self, service: &Name) {
         if !self.dependencies.contains(service) {
             self.dependencies.insert(service.clone());
         }
     }
 
-    /// Whether the upstream beside this node may run a repeat: the calls that it makes are repeats at
-    /// the services below, whose budgets must have room for them.
+    /// Whether the local upstream may run a repeat: the calls that it makes for it are repeats too,
+    /// so the budgets of all services that it calls must permit one.
     pub fn may_run_repeat(&self) -> bool {
         let can_spend = |service| {
             self.budgets
@@ -222,12 +224,13 @@
     }
 }
 
-/// The limit of an upstream after a report. A node that has just started does not know one that was named before; one that
-/// knew it says when it has ended.
+/// The request limit of an upstream after a report. A node that has just started does not know a
+/// limit that was advertised earlier, so its reports leave it in force. A report without a limit
+/// ends it only if the report before it had one.
 fn known_limit(view: &UpstreamView, load: &Load) -> Option<RequestRate> {
-    let was_known_there = view.load.is_some_and(|load| load.request_limit.is_some());
+    let had_reported_limit = view.load.is_some_and(|load| load.request_limit.is_some());
     match load.request_limit {
-        None if !was_known_there => view.known_limit,
+        None if !had_reported_limit => view.known_limit,
         limit => limit,
     }
 }
--- a/components/entry/src/shortage.rs
+++ b/components/entry/src/shortage.rs
@@ -1,49 +1,54 @@
-//! Which services were short of slots lately, as far as this node has seen.
+//! Recent shortages of slots, by service, as seen by this node.
 //!
-//! An offer that only asks for a free slot at once is refused as busy whenever its upstream has none, also in a service
-//! that is not short. So only refusals of offers that might queue count.
+//! An offer that may not queue is refused as busy whenever its upstream has no free slot, even if
+//! the service is not short of slots. So only refusals of offers that might queue count.
 
 use home::{Reason, Refusal};
 use names::{AttemptId, Moment, Name};
 use std::collections::{HashMap, VecDeque};
 
-/// Attempts at most whose refusal may still arrive; the oldest are dropped.
-const MOST_LEFT: usize = 256;
+/// Maximum number of abandoned attempts to remember; the oldest are dropped.
+const MAX_ABANDONED: usize = 256;
 
-/// When offers of each service that might queue were refused as busy.
+/// When an offer that might queue was last refused as busy, by service.
 #[derive(Debug, Default)]
 pub(crate) struct Shortage {
-    busy: HashMap<Name, Moment>,
-    /// Attempts that might queue and that their calls have left without word of their end.
-    left: VecDeque<(AttemptId, Name)>,
+    last_busy: HashMap<Name, Moment>,
+    /// Attempts that might queue, whose calls abandoned them before the outcome was known. A
+    /// refusal may still arrive.
+    abandoned: VecDeque<(AttemptId, Name)>,
 }
 
 impl Shortage {
-    /// Takes in that an offer that might queue was refused as busy.
+    /// Records that an offer that might queue was refused as busy.
     pub(crate) fn on_refusal(&mut self, now: Moment, service: &Name) {
-        self.busy.insert(service.clone(), now);
+        self.last_busy.insert(service.clone(), now);
     }
 
-    /// Takes in that a call has left an attempt that might queue.
+    /// Records that a call has abandoned an attempt that might queue.
     pub(crate) fn on_abandoned(&mut self, id: AttemptId, service: &Name) {
-        if self.left.len() >= MOST_LEFT {
-            self.left.pop_front();
+        if self.abandoned.len() >= MAX_ABANDONED {
+            self.abandoned.pop_front();
         }
-        self.left.push_back((id, service.clone()));
+        self.abandoned.push_back((id, service.clone()));
     }
 
-    /// Takes in a refusal of an attempt that its call has left. Returns whether it counts.
+    /// Handles a refusal of an abandoned attempt. Returns whether it counts as a shortage.
     pub(crate) fn on_late_refusal(
         &mut self,
         now: Moment,
         id: AttemptId,
         refusal: &Refusal,
     ) -> bool {
-        let Some(at) = self.left.iter().position(|(left, _)| *left == id) else {
+        let Some(index) = self
+            .abandoned
+            .iter()
+            .position(|(attempt, _)| *attempt == id)
+        else {
             return false;
         };
-        let left = self.left.remove(at);
-        match left.filter(|_| refusal.reason == Reason::Busy) {
+        let attempt = self.abandoned.remove(index);
+        match attempt.filter(|_| refusal.reason == Reason::Busy) {
             Some((_, service)) => {
                 self.on_refusal(now, &service);
                 true
@@ -52,8 +57,8 @@
         }
     }
 
-    /// Time since the last refusal that counts, in microseconds; none when there was none.
+    /// Time since the last refusal that counts, in microseconds; none if there was none.
     pub(crate) fn since_us(&self, now: Moment, service: &Name) -> Option<u64> {
-        self.busy.get(service).map(|at| now.since(*at))
+        self.last_busy.get(service).map(|at| now.since(*at))
     }
 }
--- a/components/entry/src/split.rs
+++ b/components/entry/src/split.rs
@@ -1,15 +1,16 @@
-//! Spreading the requests of one route over services by weight.
+//! Smooth weighted round-robin over the services of one route.
 
 use rand::Rng;
 
-/// Most turns that are passed over to begin at a random one.
-const MOST_PASSED: i64 = 10_000;
+/// Maximum number of turns skipped to begin at a random one.
+const MAX_SKIPPED: i64 = 10_000;
 
-/// Hands out turns in proportion to weights, as evenly as they can be spread: after any number of
-/// turns no share is off by more than one.
+/// Gives out turns in proportion to weights, spread as evenly as possible: after any number of
+/// turns no share deviates from its weight by more than one turn.
 ///
-/// Each node hands out its own turns, so they begin at a random one. Were all nodes to begin with the heaviest share,
-/// the lightest would get nothing in a fleet where each node has one request for the route.
+/// Each node gives out its own turns and begins at a random one. If all nodes began with the
+/// heaviest share, the lightest would get nothing in a fleet where each node has one request for
+/// the route.
 #[derive(Debug, Clone, Default)]
 pub struct WeightedRoundRobin {
     weights: Vec<i64>,
@@ -17,7 +18,7 @@
 }
 
 impl WeightedRoundRobin {
-    /// The share whose turn it is; none when there is no weight at all.
+    /// Index of the share whose turn it is; none when all weights are zero.
     pub fn next(
         &mut self,
         weights: impl Iterator<Item = u32>,
@@ -28,26 +29,26 @@
             return None;
         }
         if self.weights != weights {
-            self.begin(weights, rng);
+            self.restart(weights, rng);
         }
         Some(self.turn())
     }
 
-    /// Begins at a random turn of the sequence for these weights.
-    fn begin(&mut self, weights: Vec<i64>, rng: &mut impl Rng) {
+    /// Restarts with these weights, at a random turn of their sequence.
+    fn restart(&mut self, weights: Vec<i64>, rng: &mut impl Rng) {
         self.credit = vec![0; weights.len()];
         self.weights = weights;
-        let passed = rng.random_range(0..self.period().min(MOST_PASSED));
-        for _ in 0..passed {
+        let skipped = rng.random_range(0..self.period().min(MAX_SKIPPED));
+        for _ in 0..skipped {
             self.turn();
         }
     }
 
-    /// Turns after which the sequence repeats.
+    /// Number of turns after which the sequence repeats.
     fn period(&self) -> i64 {
         let total: i64 = self.weights.iter().sum();
-        let common = self.weights.iter().copied().fold(0, gcd);
-        total / common
+        let divisor = self.weights.iter().copied().fold(0, gcd);
+        total / divisor
     }
 
     fn turn(&mut self) -> usize {
@@ -56,12 +57,12 @@
             *credit += weight;
         }
         let shares = 0..self.weights.len();
-        let most = shares
+        let selected = shares
             .filter(|share| self.weights[*share] > 0)
             .max_by_key(|share| self.credit[*share])
             .unwrap_or(0);
-        self.credit[most] -= total;
-        most
+        self.credit[selected] -= total;
+        selected
     }
 }
 
--- a/components/entry/src/suspect.rs
+++ b/components/entry/src/suspect.rs
@@ -1,41 +1,43 @@
-//! Where a request goes under which an upstream has ended.
+//! Where a request goes after an upstream terminated while running it.
 //!
-//! Copies of a harmful request come at several nodes and again and again; each that runs beside others under
-//! suspicion leaves open which of them ended the upstream. So a suspect runs alone where that can be had, at the
-//! upstream on which all nodes agree, and once.
+//! Copies of a harmful request arrive repeatedly and at several nodes. If several suspects run at
+//! one upstream at a time, it stays open which of them terminated it. So a suspect runs once, alone
+//! if possible, and at the upstream on which all nodes agree.
 
 use home::Suspicion;
 use names::Name;
 
-/// Offers that ask to run alone, before one that may run beside others: upstreams that end together leave many
-/// requests under suspicion, most of them innocent, and they have to be served.
-const MOST_ALONE_OFFERS: usize = 4;
+/// Number of VMs at which the request asks to run as the only suspect, before it accepts to run
+/// along with others. Upstreams that terminate together leave many suspects; most are harmless and
+/// have to be served.
+const MAX_ALONE_OFFERS: usize = 4;
 
-/// The upstreams at which a suspect may run, and those that were tried.
+/// The VMs at which a suspect may run, and the ones already tried.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// The VMs, the best first.
+    /// The VMs, in order of preference.
     order: Vec<Name>,
-    /// Those that have another suspect, or no room.
+    /// VMs that refused the request as the only suspect: they run another one, or have no free
+    /// slot.
     busy: Vec<Name>,
-    /// Those that are not asked again.
-    closed: Vec<Name>,
+    /// VMs that get no further offer.
+    excluded: Vec<Name>,
 }
 
 impl Suspect {
-    /// A suspect that may run at these VMs, the best first.
+    /// A suspect that may run at these VMs, in order of preference.
     pub fn new(order: Vec<Name>) -> Suspect {
         Suspect {
             order,
             busy: Vec::new(),
-            closed: Vec::new(),
+            excluded: Vec::new(),
         }
     }
 
-    /// The next VM to ask, and how the request may run there.
+    /// The next VM to offer the request to, and how it may run there.
     pub fn next(&self) -> Option<(Name, Suspicion)> {
-        let is_open = |vm: &&Name| !self.closed.contains(vm);
-        let alone = self.order.iter().take(MOST_ALONE_OFFERS);
+        let is_open = |vm: &&Name| !self.excluded.contains(vm);
+        let alone = self.order.iter().take(MAX_ALONE_OFFERS);
         let alone = alone
             .filter(is_open)
             .find(|vm| !self.busy.contains(vm))
@@ -47,16 +49,16 @@
         alone.or_else(shared)
     }
 
-    /// Takes in that a VM had no room for the request as it was offered.
+    /// Records that a VM refused the offer as busy.
     pub fn on_busy(&mut self, vm: Name, suspicion: Suspicion) {
         match suspicion {
             Suspicion::Alone => self.busy.push(vm),
-            Suspicion::None | Suspicion::Shared => self.closed.push(vm),
+            Suspicion::None | Suspicion::Shared => self.excluded.push(vm),
         }
     }
 
-    /// Takes in that a VM is of no use to the request.
+    /// Makes no further offer to a VM.
     pub fn exclude(&mut self, vm: Name) {
-        self.closed.push(vm);
+        self.excluded.push(vm);
     }
 }
