--- a/components/entry/tests/hedge_delay/main.rs
+++ b/components/entry/tests/hedge_delay/main.rs
@@ -1,13 +1,14 @@
-//! After which time a second attempt is best made.
+//! Compares delays after which a hedged attempt is made.
 //!
-//! Replays the request classes of a site whose runs take seven times as long as usual in 3 of 100 cases, at half of the
-//! capacity and at 1.3 times the capacity, with the delays that were candidates: none at all, a fixed one, the 90th
-//! percentile, and the latest useful moment that home duties use (not before the percentile). The homes, the entries and
-//! the calls are the product's own; the fixed delay and the percentile alone are played by the test.
+//! Replays the request classes of a site whose runs take seven times their typical time in 3 of 100
+//! cases, at half of the capacity and at 1.3 times the capacity. The delays are: no hedging, a
+//! fixed delay, the 90th percentile, and the latest useful moment that home duties use, which is
+//! never before the percentile. Home duties, entry duties and calls are the real ones; the test
+//! itself only implements the fixed delay and the percentile.
 
 mod replay;
 
-use replay::{play, Delay, Load, Row};
+use replay::{replay_load, Delay, Load, Row};
 use std::fmt::Write;
 
 const FIXED_MS: u64 = 100;
@@ -22,10 +23,10 @@
     let lobby = class(123.0, 213.0, 300, 800);
     let history = class(295.0, 446.0, 800, 2_000);
     let standing = class(37.0, 57.0, 200, 600);
-    let load = |name, classes: &[replay::Class], part| Load {
+    let load = |name, classes: &[replay::Class], capacity_fraction| Load {
         name,
         classes: classes.to_vec(),
-        part,
+        capacity_fraction,
     };
     vec![
         load("lobby list", &[lobby], 0.5),
@@ -52,16 +53,7 @@
     writeln!(
         table,
         "{:<18} {:<10} {:>6} {:>7} {:>5} {:>7} {:>6} {:>5} {:>7} {:>8}  not made",
-        "load",
-        "delay",
-        "asked",
-        "in time",
-        "late",
-        "refused",
-        "second",
-        "won",
-        "p97 ms",
-        "slot ms",
+        "load", "delay", "sent", "in time", "late", "refused", "hedges", "won", "p97 ms", "slot ms",
     )
     .expect("a string");
     for load in loads() {
@@ -72,17 +64,17 @@
             Delay::LatestUseful,
         ];
         for delay in delays {
-            let row = play(&load, delay);
+            let row = replay_load(&load, delay);
             writeln!(
                 table,
                 "{:<18} {:<10} {:>6} {:>7} {:>5} {:>7} {:>6} {:>5} {:>7} {:>8}  {}",
                 load.name,
                 delay.as_str(),
-                row.asked,
+                row.sent,
                 row.in_time,
                 row.late,
                 row.refused,
-                row.second,
+                row.hedges,
                 row.won,
                 row.p97_ms,
                 row.slot_ms,
@@ -95,31 +87,35 @@
     (table, rows)
 }
 
-/// Guards against a delay that brings less than the percentile alone on the load that second attempts are for, and against second
-/// attempts while a service is short.
+/// Guards against a delay that gives fewer answers in time than the percentile at the load for
+/// which hedging is meant, and against hedged attempts while a service is short of slots.
 #[test]
-fn the_latest_useful_moment_brings_as_many_answers_in_time_as_the_percentile_with_fewer_second_attempts(
-) {
+fn latest_useful_delay_gives_as_many_answers_in_time_as_the_percentile_with_fewer_hedges() {
     let (table, rows) = table();
     insta::assert_snapshot!("delays", table);
     let row = |name: &str, delay: Delay| {
-        let is_it = |(load, other, _): &&(Load, Delay, Row)| load.name == name && *other == delay;
-        rows.iter().find(is_it).expect("it was played").2.clone()
+        let is_match =
+            |(load, other, _): &&(Load, Delay, Row)| load.name == name && *other == delay;
+        rows.iter()
+            .find(is_match)
+            .expect("the load was replayed with this delay")
+            .2
+            .clone()
     };
     for name in ["standing, short", "lobby list, short"] {
         let latest = row(name, Delay::LatestUseful);
-        assert!(latest.second * 500 <= latest.asked, "{name}");
+        assert!(latest.hedges * 500 <= latest.sent, "{name}");
     }
     for name in ["lobby list", "history", "standing"] {
         let (none, latest) = (row(name, Delay::None), row(name, Delay::LatestUseful));
         let percentile = row(name, Delay::Percentile);
         assert!(latest.in_time > none.in_time, "{name}");
         assert!(latest.in_time * 100 >= percentile.in_time * 99, "{name}");
-        assert!(latest.second <= percentile.second, "{name}");
+        assert!(latest.hedges <= percentile.hedges, "{name}");
     }
-    let made = |delay: Delay| -> usize {
+    let hedges_made = |delay: Delay| -> usize {
         let loads = ["lobby list", "history", "standing"];
-        loads.iter().map(|name| row(name, delay).second).sum()
+        loads.iter().map(|name| row(name, delay).hedges).sum()
     };
-    assert!(made(Delay::LatestUseful) < made(Delay::Percentile));
+    assert!(hedges_made(Delay::LatestUseful) < hedges_made(Delay::Percentile));
 }
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -1,4 +1,4 @@
-//! A hall of upstreams, their home duties and entry duties, played through a load.
+//! Simulates a hall of upstreams with their home duties and entry duties under a load.
 
 use entry::{
     Action, Call, Candidate, Entry, Event, HedgeDecision, Origin, Outcome, Price,
@@ -13,15 +13,15 @@
 
 const VMS: usize = 8;
 const SLOTS: u32 = 6;
-/// Runs that an upstream bears at once before they take longer, and the part of the slots that this is.
-const BORNE: usize = 4;
-const USABLE: f64 = 0.67;
+/// Concurrent runs that an upstream sustains before they slow down, and their share of the slots.
+const SUSTAINED_RUNS: usize = 4;
+const USABLE_FRACTION: f64 = 0.67;
 const REQUESTS: usize = 4_000;
-/// Home duties learn run times from the requests before this one, which are not counted.
+/// Index of the first request that counts. Home duties learn run times from the earlier ones.
 const FIRST_COUNTED: usize = 1_000;
 const WAY_US: u64 = 300;
 const TICK_US: u64 = 5 * MILLISECOND;
-const TAIL_PART: f64 = 0.03;
+const TAIL_FRACTION: f64 = 0.03;
 const TAIL_FACTOR: f64 = 7.0;
 /// The fleet's bound on repeats.
 const RATIO: f64 = 0.2;
@@ -38,29 +38,29 @@
 }
 
 impl Class {
-    fn usual_us(&self, rng: &mut SmallRng) -> u64 {
-        // Logarithms are spread evenly around the median such that a tenth is beyond the 90th percentile.
+    fn draw_run_us(&self, rng: &mut SmallRng) -> u64 {
+        // Logarithms are uniform around the median, with a tenth of them above the 90th percentile.
         let spread = (self.p90_ms / self.p50_ms).ln() / 0.8;
         let factor = f64::exp(spread * rng.random_range(-1.0..1.0));
         (self.p50_ms * factor * MILLISECOND as f64) as u64
     }
 }
 
-/// What callers send.
+/// The requests that callers send.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub name: &'static str,
-    /// Classes in equal numbers.
+    /// Classes; each has the same number of requests.
     pub classes: Vec<Class>,
-    /// In terms of what all upstreams bear.
-    pub part: f64,
+    /// Load as a fraction of the capacity of all upstreams.
+    pub capacity_fraction: f64,
 }
 
-/// After which time of a run a second attempt is considered.
+/// Run time after which a hedged attempt is considered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delay {
     None,
-    /// After so many milliseconds.
+    /// Milliseconds.
     Fixed(u64),
     Percentile,
     LatestUseful,
@@ -77,31 +77,31 @@
     }
 }
 
-/// What came of a load.
+/// Result of one load with one delay.
 #[derive(Debug, Clone, Default)]
 pub struct Row {
-    /// Second attempts that were not made, by reason.
+    /// Hedged attempts that were refused, by reason.
     pub reasons: BTreeMap<&'static str, usize>,
-    pub asked: usize,
+    pub sent: usize,
     pub in_time: usize,
     pub late: usize,
     pub refused: usize,
-    pub second: usize,
+    pub hedges: usize,
     pub won: usize,
     pub p97_ms: u64,
-    /// Time for which a request occupies slots, on average.
+    /// Mean time for which a request occupies slots.
     pub slot_ms: u64,
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
-    Asked(usize),
+enum SimEvent {
+    Arrived(usize),
     Expired(usize),
     Offered(usize, Offer),
     Cancelled(usize, AttemptId),
-    Told(usize, usize, Event<usize>),
-    Ended(usize, AttemptId),
-    Due(usize, AttemptId),
+    Delivered(usize, usize, Event<usize>),
+    RunFinished(usize, AttemptId),
+    HedgeDue(usize, AttemptId),
     Tick,
 }
 
@@ -109,14 +109,14 @@
     class: Class,
     call: Call<usize>,
     node: usize,
-    began: Moment,
-    took_us: Option<u64>,
+    started_at: Moment,
+    duration_us: Option<u64>,
     is_done: bool,
 }
 
 struct Running {
     request: usize,
-    began: Moment,
+    started_at: Moment,
 }
 
 struct Vm {
@@ -133,20 +133,23 @@
     requests: Vec<Request>,
     attempts: HashMap<AttemptId, (usize, bool)>,
     queue: BinaryHeap<Reverse<(Moment, u64)>>,
-    happenings: HashMap<u64, Happening>,
+    sim_events: HashMap<u64, SimEvent>,
     next: u64,
     slot_us: u64,
     row: Row,
     rng: SmallRng,
 }
 
-/// Plays a load through one delay.
-pub fn play(load: &Load, delay: Delay) -> Row {
+/// Replays a load with one delay.
+pub fn replay_load(load: &Load, delay: Delay) -> Row {
     let mut hall = Hall::new(load, delay);
     while let Some(Reverse((at, seq))) = hall.queue.pop() {
         hall.now = at;
-        let happening = hall.happenings.remove(&seq).expect("it was put there");
-        hall.take(happening);
+        let sim_event = hall
+            .sim_events
+            .remove(&seq)
+            .expect("every queue entry has an event");
+        hall.on_sim_event(sim_event);
     }
     hall.result()
 }
@@ -157,7 +160,7 @@
 
 fn index(vm: &Name) -> usize {
     let number = vm.as_str().trim_start_matches("vm-");
-    number.parse().expect("a VM of the hall")
+    number.parse().expect("VM names end in their index")
 }
 
 impl Hall {
@@ -170,7 +173,7 @@
             requests: Vec::new(),
             attempts: HashMap::new(),
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
+            sim_events: HashMap::new(),
             next: 0,
             slot_us: 0,
             row: Row::default(),
@@ -182,7 +185,7 @@
             hall.entries.push(entry);
             let cfg = Config {
                 slots: SLOTS,
-                usable_fraction: USABLE,
+                usable_fraction: USABLE_FRACTION,
                 adaptive: false,
                 ..Config::default()
             };
@@ -192,16 +195,16 @@
                 run_times: RunTimes::default(),
             });
         }
-        hall.ask(load);
+        hall.schedule_requests(load);
         hall
     }
 
-    /// Puts all requests and ticks into the queue.
-    fn ask(&mut self, load: &Load) {
-        let longer = 1.0 + TAIL_PART * (TAIL_FACTOR - 1.0);
-        let usual: f64 = load.classes.iter().map(|class| class.p50_ms).sum();
-        let run_us = usual / load.classes.len() as f64 * longer * MILLISECOND as f64;
-        let gap_us = run_us / (VMS * BORNE) as f64 / load.part;
+    /// Schedules all requests and ticks.
+    fn schedule_requests(&mut self, load: &Load) {
+        let mean_factor = 1.0 + TAIL_FRACTION * (TAIL_FACTOR - 1.0);
+        let p50_ms_total: f64 = load.classes.iter().map(|class| class.p50_ms).sum();
+        let run_us = p50_ms_total / load.classes.len() as f64 * mean_factor * MILLISECOND as f64;
+        let gap_us = run_us / (VMS * SUSTAINED_RUNS) as f64 / load.capacity_fraction;
         let mut at = self.now;
         for i in 0..REQUESTS {
             let gap = -gap_us * f64::ln(self.rng.random_range(1e-9..1.0));
@@ -227,31 +230,31 @@
                 class,
                 call,
                 node,
-                began: at,
-                took_us: None,
+                started_at: at,
+                duration_us: None,
                 is_done: false,
             });
-            self.put(at, Happening::Asked(i));
-            self.put(deadline, Happening::Expired(i));
+            self.schedule(at, SimEvent::Arrived(i));
+            self.schedule(deadline, SimEvent::Expired(i));
         }
         let ticks = at.since(self.now) / TICK_US + 2 * SECOND / TICK_US;
         for tick in 0..ticks {
-            self.put(self.now + tick * TICK_US, Happening::Tick);
+            self.schedule(self.now + tick * TICK_US, SimEvent::Tick);
         }
     }
 
-    fn put(&mut self, at: Moment, happening: Happening) {
+    fn schedule(&mut self, at: Moment, sim_event: SimEvent) {
         self.next += 1;
         self.queue.push(Reverse((at, self.next)));
-        self.happenings.insert(self.next, happening);
+        self.sim_events.insert(self.next, sim_event);
     }
 
-    fn take(&mut self, happening: Happening) {
+    fn on_sim_event(&mut self, sim_event: SimEvent) {
         let now = self.now;
-        match happening {
-            Happening::Asked(request) => self.step(request, Event::Begin),
-            Happening::Expired(request) => self.step(request, Event::Expired),
-            Happening::Told(request, at, event) => {
+        match sim_event {
+            SimEvent::Arrived(request) => self.step(request, Event::Begin),
+            SimEvent::Expired(request) => self.step(request, Event::Expired),
+            SimEvent::Delivered(request, at, event) => {
                 let load = self.vms[at].home.load(now);
                 let node = self.requests[request].node;
                 if !matches!(event, Event::Straggles(_)) {
@@ -259,21 +262,21 @@
                 }
                 self.step(request, event);
             }
-            Happening::Offered(at, offer) => {
+            SimEvent::Offered(at, offer) => {
                 let actions = self.vms[at].home.offer(now, &offer);
-                self.perform(at, actions);
+                self.apply(at, actions);
             }
-            Happening::Cancelled(at, id) => {
+            SimEvent::Cancelled(at, id) => {
                 if self.vms[at].home.cancel(now, id) {
                     self.end(at, id, Verdict::Cancelled);
                 }
             }
-            Happening::Ended(at, id) => self.end(at, id, Verdict::Good),
-            Happening::Due(at, id) => self.due(at, id),
-            Happening::Tick => {
+            SimEvent::RunFinished(at, id) => self.end(at, id, Verdict::Good),
+            SimEvent::HedgeDue(at, id) => self.hedge_due(at, id),
+            SimEvent::Tick => {
                 for at in 0..VMS {
                     let actions = self.vms[at].home.tick(now);
-                    self.perform(at, actions);
+                    self.apply(at, actions);
                 }
             }
         }
@@ -290,7 +293,7 @@
         let reports = call.may_hedge();
         let left_us = call.deadline().since(now);
         match call.take_hedge().map(|hedge| hedge.decision) {
-            Some(HedgeDecision::Made) => self.row.second += usize::from(is_counted),
+            Some(HedgeDecision::Made) => self.row.hedges += usize::from(is_counted),
             Some(HedgeDecision::Refused(refusal)) if is_counted => {
                 *self
                     .row
@@ -301,7 +304,7 @@
             Some(HedgeDecision::WonByHedge) => self.row.won += usize::from(is_counted),
             _ => {}
         }
-        let spent_us = now.since(self.requests[request].began);
+        let elapsed_us = now.since(self.requests[request].started_at);
         for action in actions {
             match action {
                 Action::Offer {
@@ -316,7 +319,7 @@
                         id,
                         service: "s".into(),
                         remaining_us: left_us,
-                        objective_us: Some(objective_us.saturating_sub(spent_us)),
+                        objective_us: Some(objective_us.saturating_sub(elapsed_us)),
                         priority: 5,
                         level: 0,
                         repeatable: true,
@@ -328,12 +331,12 @@
                         known_limit: None,
                         account: None,
                     };
-                    self.put(now + WAY_US, Happening::Offered(index(&to), offer));
+                    self.schedule(now + WAY_US, SimEvent::Offered(index(&to), offer));
                 }
                 Action::Cancel { id, to } => {
-                    self.put(now + WAY_US, Happening::Cancelled(index(&to), id));
+                    self.schedule(now + WAY_US, SimEvent::Cancelled(index(&to), id));
                 }
-                Action::Query { .. } => panic!("all requests may be repeated"),
+                Action::Query { .. } => panic!("all requests are repeatable"),
                 Action::Finish(outcome) => self.finished(request, &outcome),
             }
         }
@@ -344,58 +347,66 @@
         let request = &mut self.requests[request];
         request.is_done = true;
         if matches!(outcome, Outcome::Answered(_)) {
-            request.took_us = Some(now.since(request.began));
+            request.duration_us = Some(now.since(request.started_at));
         }
     }
 
-    fn perform(&mut self, at: usize, actions: Vec<home::Action>) {
+    fn apply(&mut self, at: usize, actions: Vec<home::Action>) {
         for action in actions {
             match action {
                 home::Action::Start(id) => self.start(at, id),
-                home::Action::Refuse(id, refusal) => self.tell(at, id, Event::Refused(id, refusal)),
-                home::Action::Revoke(id) => self.tell(at, id, Event::Revoked(id)),
-                home::Action::Straggles(id) => self.tell(at, id, Event::Straggles(id)),
-                home::Action::Probe => panic!("upstreams say nothing of their pace"),
+                home::Action::Refuse(id, refusal) => {
+                    self.send_event(at, id, Event::Refused(id, refusal))
+                }
+                home::Action::Revoke(id) => self.send_event(at, id, Event::Revoked(id)),
+                home::Action::Straggles(id) => self.send_event(at, id, Event::Straggles(id)),
+                home::Action::Probe => panic!("upstreams report no slowdown"),
             }
         }
     }
 
-    fn tell(&mut self, at: usize, id: AttemptId, event: Event<usize>) {
+    fn send_event(&mut self, at: usize, id: AttemptId, event: Event<usize>) {
         let (request, _) = self.attempts[&id];
-        self.put(self.now + WAY_US, Happening::Told(request, at, event));
+        self.schedule(self.now + WAY_US, SimEvent::Delivered(request, at, event));
     }
 
     fn start(&mut self, at: usize, id: AttemptId) {
         let (request, repeat) = self.attempts[&id];
         let class = self.requests[request].class;
-        // The same for each delay, so that they can be compared.
+        // Run times are the same for each delay, which makes the delays comparable.
         let mut rng = SmallRng::seed_from_u64(2 * request as u64 + u64::from(repeat));
-        let usual_us = class.usual_us(&mut rng);
-        let is_long = !repeat && rng.random_bool(TAIL_PART);
+        let base_us = class.draw_run_us(&mut rng);
+        let is_long = !repeat && rng.random_bool(TAIL_FRACTION);
         let tail = if is_long { TAIL_FACTOR } else { 1.0 };
         let vm = &mut self.vms[at];
-        let began = self.now;
-        vm.running.insert(id, Running { request, began });
-        let crowd = (vm.running.len() as f64 / BORNE as f64).max(1.0);
-        let run_us = (usual_us as f64 * tail * crowd) as u64;
-        let due = match self.delay {
+        let started_at = self.now;
+        vm.running.insert(
+            id,
+            Running {
+                request,
+                started_at,
+            },
+        );
+        let contention = (vm.running.len() as f64 / SUSTAINED_RUNS as f64).max(1.0);
+        let run_us = (base_us as f64 * tail * contention) as u64;
+        let hedge_due = match self.delay {
             Delay::None => None,
-            Delay::Fixed(ms) => Some(began + ms * MILLISECOND),
-            Delay::Percentile => vm.run_times.p90_us().map(|us| began + us),
+            Delay::Fixed(ms) => Some(started_at + ms * MILLISECOND),
+            Delay::Percentile => vm.run_times.p90_us().map(|us| started_at + us),
             Delay::LatestUseful => vm.home.straggler_due(id),
         };
-        self.put(began + run_us, Happening::Ended(at, id));
-        if let Some(due) = due.filter(|_| !repeat) {
-            self.put(due + 1, Happening::Due(at, id));
+        self.schedule(started_at + run_us, SimEvent::RunFinished(at, id));
+        if let Some(hedge_due) = hedge_due.filter(|_| !repeat) {
+            self.schedule(hedge_due + 1, SimEvent::HedgeDue(at, id));
         }
     }
 
-    fn due(&mut self, at: usize, id: AttemptId) {
+    fn hedge_due(&mut self, at: usize, id: AttemptId) {
         if self.delay == Delay::LatestUseful {
             let actions = self.vms[at].home.report_stragglers(self.now);
-            self.perform(at, actions);
+            self.apply(at, actions);
         } else if self.vms[at].running.contains_key(&id) {
-            self.tell(at, id, Event::Straggles(id));
+            self.send_event(at, id, Event::Straggles(id));
         }
     }
 
@@ -405,7 +416,7 @@
         let Some(running) = vm.running.remove(&id) else {
             return;
         };
-        let us = now.since(running.began);
+        let us = now.since(running.started_at);
         if running.request >= FIRST_COUNTED {
             self.slot_us += us;
         }
@@ -417,27 +428,27 @@
         let actions = vm.home.completed(now, id, verdict, answer);
         if let Some(answer) = answer {
             let error = false;
-            self.tell(at, id, Event::Answered { id, answer, error });
+            self.send_event(at, id, Event::Answered { id, answer, error });
         } else {
-            self.tell(at, id, Event::Broken(id));
+            self.send_event(at, id, Event::Broken(id));
         }
-        self.perform(at, actions);
+        self.apply(at, actions);
     }
 
     fn result(mut self) -> Row {
         let counted = &self.requests[FIRST_COUNTED..];
         assert!(counted.iter().all(|request| request.is_done));
-        let mut took_us: Vec<u64> = counted.iter().filter_map(|it| it.took_us).collect();
-        took_us.sort_unstable();
+        let mut duration_us: Vec<u64> = counted.iter().filter_map(|it| it.duration_us).collect();
+        duration_us.sort_unstable();
         let is_in_time = |request: &&Request| {
-            let took_us = request.took_us;
-            took_us.is_some_and(|us| us <= request.class.objective_ms * MILLISECOND)
+            let duration_us = request.duration_us;
+            duration_us.is_some_and(|us| us <= request.class.objective_ms * MILLISECOND)
         };
-        self.row.asked = counted.len();
+        self.row.sent = counted.len();
         self.row.in_time = counted.iter().filter(is_in_time).count();
-        self.row.late = took_us.len() - self.row.in_time;
-        self.row.refused = counted.len() - took_us.len();
-        self.row.p97_ms = took_us[took_us.len() * 97 / 100] / MILLISECOND;
+        self.row.late = duration_us.len() - self.row.in_time;
+        self.row.refused = counted.len() - duration_us.len();
+        self.row.p97_ms = duration_us[duration_us.len() * 97 / 100] / MILLISECOND;
         self.row.slot_ms = self.slot_us / counted.len() as u64 / MILLISECOND;
         self.row
     }
--- a/components/entry/tests/priced.rs
+++ b/components/entry/tests/priced.rs
@@ -1,4 +1,4 @@
-//! The choice by expected time with a price for crossing to another hall.
+//! Selection by expected time with a price for crossing to another hall.
 
 use entry::{
     Action, Call, Candidate, Entry, Event, Origin, Outcome, Price, SelectionRule, Treatment,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Where the first offer of a call goes, given reports of the upstreams `near` and `far`.
+/// The first actions of a call, given load reports of the upstreams `near` and `far`.
 fn first_offer(near: Load, far: Load, crossing_ms: u64) -> Vec<Action<u64>> {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     entry.on_report(NOW, &Name::from("near"), near);
@@ -50,33 +50,42 @@
     call.step(NOW, Event::Begin, &mut entry)
 }
 
-fn goes_to(actions: &[Action<u64>], vm: &str) -> bool {
+fn is_offered_to(actions: &[Action<u64>], vm: &str) -> bool {
     matches!(actions, [Action::Offer { to, .. }] if to.as_str() == vm)
 }
 
 #[test]
-fn an_upstream_of_the_own_hall_is_taken_while_it_is_about_as_good() {
-    assert!(goes_to(
+fn upstream_of_the_own_hall_is_selected_at_similar_cost() {
+    assert!(is_offered_to(
         &first_offer(load(3, 0, 100), load(0, 0, 100), 60),
         "near"
     ));
 }
 
 #[test]
-fn a_slow_upstream_is_left_when_the_way_costs_less_than_the_wait() {
+fn request_leaves_a_slow_upstream_when_crossing_costs_less_than_waiting() {
     let slow = load(4, 3, 400);
-    assert!(goes_to(&first_offer(slow, load(0, 0, 100), 60), "far"));
-    assert!(goes_to(&first_offer(slow, load(0, 0, 100), 2_000), "near"));
+    assert!(is_offered_to(
+        &first_offer(slow, load(0, 0, 100), 60),
+        "far"
+    ));
+    assert!(is_offered_to(
+        &first_offer(slow, load(0, 0, 100), 2_000),
+        "near"
+    ));
 }
 
 #[test]
-fn a_request_never_crosses_to_an_upstream_that_is_known_to_be_full() {
+fn request_does_not_cross_to_a_full_upstream() {
     let full = load(4, 9, 100);
-    assert!(goes_to(&first_offer(load(4, 9, 400), full, 0), "near"));
+    assert!(is_offered_to(
+        &first_offer(load(4, 9, 400), full, 0),
+        "near"
+    ));
 }
 
 #[test]
-fn when_every_upstream_is_known_to_be_full_the_caller_is_told_to_come_back_soon() {
+fn caller_gets_a_short_retry_after_when_all_upstreams_are_full() {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     entry.on_report(NOW, &Name::from("far"), load(4, 9, 100));
     let treatment = Treatment {
@@ -102,7 +111,7 @@
 }
 
 #[test]
-fn urgent_requests_cross_sooner_and_calls_of_running_requests_wait_until_their_deadline() {
+fn urgent_requests_cross_at_a_lower_price_and_inner_calls_wait_until_their_deadline() {
     let objective = 100 * MILLISECOND;
     let urgent = Price::of(9, objective, false);
     let common = Price::of(7, objective, false);
@@ -113,7 +122,7 @@
     assert_eq!(Price::of(5, 0, false).objective_us, None);
 }
 
-/// A call with `near` upstreams of the own hall and one of another, about which nothing is known.
+/// A call with `near` upstreams of its own hall and one of another hall.
 fn call_among(near: usize) -> Call<u64> {
     let mut candidates: Vec<Candidate> = (0..near)
         .map(|i| candidate(&format!("near-{i}"), true))
@@ -135,11 +144,11 @@
 }
 
 #[test]
-fn among_several_upstreams_of_the_hall_a_free_slot_is_asked_for_before_any_queue() {
+fn all_upstreams_of_the_hall_get_an_offer_for_a_free_slot_before_one_that_may_queue() {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     let mut call = call_among(4);
     let mut actions = call.step(NOW, Event::Begin, &mut entry);
-    let mut asked = Vec::new();
+    let mut offered = Vec::new();
     for _ in 0..4 {
         let [Action::Offer {
             id, to, may_queue, ..
@@ -147,9 +156,9 @@
         else {
             panic!("{actions:?}");
         };
-        assert!(!may_queue, "{to} was offered a place in its queue at once");
-        assert!(to.as_str().starts_with("near") && !asked.contains(to));
-        asked.push(to.clone());
+        assert!(!may_queue, "{to}: the offer may queue at once");
+        assert!(to.as_str().starts_with("near") && !offered.contains(to));
+        offered.push(to.clone());
         entry.on_report(NOW, to, load(4, 2, 100));
         let refusal = Refusal {
             reason: Reason::Busy,
@@ -167,8 +176,9 @@
     ));
 }
 
-/// Where a call goes whose hall has one upstream, which refuses a free slot and tells `news`.
-fn after_refusal(news: Load) -> Vec<Action<u64>> {
+/// The next actions of a call whose hall has one upstream, which refuses the offer as busy and
+/// reports `load_report`.
+fn after_busy_refusal(load_report: Load) -> Vec<Action<u64>> {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     entry.on_report(NOW, &Name::from("far"), load(0, 0, 100));
     let mut call = call_among(1);
@@ -183,7 +193,7 @@
         panic!("{actions:?}");
     };
     assert_eq!(to.as_str(), "near-0");
-    entry.on_report(NOW, to, news);
+    entry.on_report(NOW, to, load_report);
     let refusal = Refusal {
         reason: Reason::Busy,
         retry_after_ms: 100,
@@ -192,9 +202,9 @@
 }
 
 #[test]
-fn the_only_upstream_of_the_hall_tells_its_wait_before_its_queue_or_a_crossing_is_chosen() {
-    let short = after_refusal(load(4, 0, 100));
-    assert!(goes_to(&short, "near-0"), "{short:?}");
+fn report_of_the_only_upstream_of_the_hall_decides_between_its_queue_and_crossing() {
+    let short = after_busy_refusal(load(4, 0, 100));
+    assert!(is_offered_to(&short, "near-0"), "{short:?}");
     assert!(matches!(
         short[..],
         [Action::Offer {
@@ -206,12 +216,12 @@
         deferred_us: 300 * MILLISECOND,
         ..load(1, 0, 400)
     };
-    let actions = after_refusal(long);
-    assert!(goes_to(&actions, "far"), "{actions:?}");
+    let actions = after_busy_refusal(long);
+    assert!(is_offered_to(&actions, "far"), "{actions:?}");
 }
 
 #[test]
-fn calls_that_know_the_same_spread_over_the_upstreams_of_the_hall() {
+fn calls_with_the_same_reports_spread_over_the_upstreams_of_the_hall() {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     for (i, service_ms) in [70, 90, 110, 130].iter().enumerate() {
         let known = Load {
@@ -221,22 +231,25 @@
         entry.on_report(NOW, &Name::from(format!("near-{i}").as_str()), known);
     }
     let later = NOW + 500 * MILLISECOND;
-    let mut chosen = std::collections::BTreeMap::new();
+    let mut offers_per_vm = std::collections::BTreeMap::new();
     for _ in 0..1_000 {
         let mut call = call_among(4);
         let actions = call.step(later, Event::Begin, &mut entry);
         let [Action::Offer { to, .. }] = actions.as_slice() else {
             panic!("{actions:?}");
         };
-        *chosen.entry(to.to_string()).or_insert(0) += 1;
+        *offers_per_vm.entry(to.to_string()).or_insert(0) += 1;
         call.step(later, Event::CallerDisconnected, &mut entry);
     }
-    assert_eq!(chosen.len(), 4, "{chosen:?}");
-    assert!(chosen.values().all(|count| *count < 350), "{chosen:?}");
+    assert_eq!(offers_per_vm.len(), 4, "{offers_per_vm:?}");
+    assert!(
+        offers_per_vm.values().all(|count| *count < 350),
+        "{offers_per_vm:?}"
+    );
 }
 
 #[test]
-fn an_upstream_whose_answers_fail_is_asked_after_those_whose_answers_are_good() {
+fn failing_upstream_is_not_selected_before_the_others() {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     for _ in 0..200 {
         for (vm, errors_permille) in [("near-0", 450), ("near-1", 4), ("near-2", 4)] {
@@ -248,23 +261,27 @@
         }
         let mut call = call_among(3).with_price(Price::of(5, 180 * MILLISECOND, false));
         let actions = call.step(NOW, Event::Begin, &mut entry);
-        assert!(!goes_to(&actions, "near-0"), "{actions:?}");
+        assert!(!is_offered_to(&actions, "near-0"), "{actions:?}");
         call.step(NOW, Event::CallerDisconnected, &mut entry);
     }
 }
 
-/// The only upstream of the own hall was known to leave while its node's record did not say so yet: the offer for a free
-/// slot had nowhere to go, and the request was refused as busy though the other hall could serve it.
+/// Guards against a refusal as busy although another hall can serve the request. The only upstream
+/// of the own hall drained, its node's record did not show it yet, and no upstream was left for an
+/// offer that may not queue.
 #[test]
-fn while_the_only_upstream_of_the_own_hall_leaves_requests_go_to_another_hall() {
+fn requests_cross_while_the_only_upstream_of_their_hall_drains() {
     let leaving = Load {
         leaving: true,
         ..load(0, 0, 100)
     };
-    assert!(goes_to(&first_offer(leaving, load(0, 0, 100), 60), "far"));
+    assert!(is_offered_to(
+        &first_offer(leaving, load(0, 0, 100), 60),
+        "far"
+    ));
 }
 
-fn limited(milli_per_s: u64, limit_wait_ms: u64) -> Load {
+fn load_with_limit(milli_per_s: u64, limit_wait_ms: u64) -> Load {
     Load {
         request_limit: Some(RequestRate::from_milli(milli_per_s)),
         limit_wait_us: limit_wait_ms * MILLISECOND,
@@ -273,35 +290,42 @@
 }
 
 #[test]
-fn an_upstream_at_its_request_limit_counts_as_full_until_it_takes_another() {
+fn upstream_counts_as_full_until_its_request_limit_permits_another() {
     let idle = load(0, 0, 100);
-    assert!(goes_to(&first_offer(limited(5_000, 150), idle, 60), "far"));
-    assert!(goes_to(&first_offer(limited(5_000, 0), idle, 60), "near"));
-    assert!(goes_to(
-        &first_offer(load(4, 9, 400), limited(5_000, 150), 0),
+    assert!(is_offered_to(
+        &first_offer(load_with_limit(5_000, 150), idle, 60),
+        "far"
+    ));
+    assert!(is_offered_to(
+        &first_offer(load_with_limit(5_000, 0), idle, 60),
+        "near"
+    ));
+    assert!(is_offered_to(
+        &first_offer(load(4, 9, 400), load_with_limit(5_000, 150), 0),
         "near"
     ));
 }
 
 #[test]
-fn a_limit_is_known_beyond_a_restart_of_the_node_beside_the_upstream_until_that_says_it_ended() {
+fn request_limit_is_known_after_a_restart_of_the_local_node_until_it_is_reported_lifted() {
     let vm = Name::from("near");
     let rate = Some(RequestRate::from_milli(5_000));
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
-    entry.on_report(NOW, &vm, limited(5_000, 0));
+    entry.on_report(NOW, &vm, load_with_limit(5_000, 0));
     assert_eq!(entry.view(&vm).known_limit, rate);
     entry.forget(&vm);
     assert_eq!(entry.view(&vm).known_limit, rate);
-    // The node that has started anew has not heard of it.
+    // The node has restarted and does not know the limit.
     entry.on_report(NOW, &vm, load(0, 0, 100));
     assert_eq!(entry.view(&vm).known_limit, rate);
-    entry.on_report(NOW, &vm, limited(5_000, 0));
+    entry.on_report(NOW, &vm, load_with_limit(5_000, 0));
     entry.on_report(NOW, &vm, load(0, 0, 100));
     assert_eq!(entry.view(&vm).known_limit, None);
 }
 
-/// What a call does when its only candidate refuses it, and an upstream without a connection is in reserve.
-fn after_a_refusal(reason: Reason) -> Vec<Action<u64>> {
+/// The actions of a call after its only candidate refuses it, with an unconnected upstream in
+/// reserve.
+fn after_refusal_with_reserve(reason: Reason) -> Vec<Action<u64>> {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
     let treatment = Treatment {
         repeatable: false,
@@ -328,22 +352,29 @@
 }
 
 #[test]
-fn an_upstream_without_a_connection_is_asked_when_the_others_are_gone_and_not_when_they_are_busy() {
-    assert!(goes_to(&after_a_refusal(Reason::Down), "far"));
-    assert!(goes_to(&after_a_refusal(Reason::Leaving), "far"));
-    let busy = after_a_refusal(Reason::Busy);
+fn unconnected_upstream_gets_an_offer_when_the_others_are_gone_but_not_when_they_are_busy() {
+    assert!(is_offered_to(
+        &after_refusal_with_reserve(Reason::Down),
+        "far"
+    ));
+    assert!(is_offered_to(
+        &after_refusal_with_reserve(Reason::Leaving),
+        "far"
+    ));
+    let busy = after_refusal_with_reserve(Reason::Busy);
     assert!(matches!(
         &busy[..],
         [Action::Finish(Outcome::NotRun(refusal))] if refusal.reason == Reason::Busy
     ));
 }
 
-/// A limit had ended, and an entry node that had last heard of a wait of ten seconds refused what the upstream had room for.
+/// Guards against refusals after a limit was lifted: an entry node whose last report showed a wait
+/// of ten seconds refused requests for which the upstream had capacity.
 #[test]
-fn a_long_wait_for_a_limit_is_not_believed_longer_than_a_second() {
+fn long_wait_for_a_request_limit_is_valid_for_a_second_at_most() {
     let vm = Name::from("far");
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
-    entry.on_report(NOW, &vm, limited(0, 10_000));
+    entry.on_report(NOW, &vm, load_with_limit(0, 10_000));
     let treatment = Treatment {
         repeatable: true,
         priority: 5,
@@ -355,12 +386,15 @@
         objective_us: Some(180 * MILLISECOND),
         ..Price::default()
     };
-    let mut offers_at = |now| {
+    let mut first_offer_at = |now| {
         let candidates = vec![candidate("far", false)];
         let call = Call::<u64>::new("s".into(), treatment.clone(), now + 9_000_000, candidates);
         call.with_price(price).step(now, Event::Begin, &mut entry)
     };
-    let soon = offers_at(NOW + 500 * MILLISECOND);
+    let soon = first_offer_at(NOW + 500 * MILLISECOND);
     assert!(matches!(&soon[..], [Action::Finish(Outcome::NotRun(_))]));
-    assert!(goes_to(&offers_at(NOW + 1_001 * MILLISECOND), "far"));
+    assert!(is_offered_to(
+        &first_offer_at(NOW + 1_001 * MILLISECOND),
+        "far"
+    ));
 }
--- a/components/entry/tests/retry_bound.rs
+++ b/components/entry/tests/retry_bound.rs
@@ -1,14 +1,15 @@
-//! The fleet's bound on repeats, with many entry duties, upstreams that turn requests away, errors, and
+//! The fleet's bound on repeats, with many entry duties, upstreams that shed requests, errors, and
 //! nodes that restart.
 //!
-//! *Symptom.* 519 arrivals beyond the first of their request at one service within 10 s, where 309 were
-//! allowed. *Sequence.* Load doubled and the upstreams of a service began to turn requests away. Each
-//! request that one of them turned away went on to the next, in three halls within 8 ms; each turned it
-//! away. *Cause.* Moving on after an upstream had turned a request away was taken for free, since it had
-//! not run. The upstream had seen it all the same, and several nodes moved on at the same time, each
-//! without a bound. *What settled it.* A day with a burst of 2.4 times and upstreams that shed: before
-//! moves spent from the budget 458 and 442 repeats where 320 and 303 were allowed, none beyond since; and
-//! `a_request_that_was_turned_away_goes_on_only_if_the_budget_allows_it`, which fails when moves are free.
+//! Guards against repeats beyond the bound after requests were shed: 519 repeats arrived at one
+//! service within 10 s, where 309 were allowed. Load had doubled, and the service's upstreams shed
+//! requests. Each shed request was offered to the next upstream, in three halls within 8 ms, and
+//! shed by each. These offers were free because the request had not run, although its upstream had
+//! received it, and several nodes made them at the same time without a bound.
+//!
+//! With a burst of 2.4 times and upstreams that shed, free offers gave 458 and 442 repeats, where
+//! 320 and 303 were allowed; charged to the budget, they stay within the bound.
+//! `shed_request_is_offered_again_only_within_the_budget` fails if such offers are free.
 
 use entry::{
     Action, Call, Candidate, Entry, Event, Origin, Outcome, RetryBudgetConfig, SelectionRule,
@@ -25,56 +26,55 @@
 const SLACK: f64 = 62.0;
 const WINDOW_US: u64 = 10 * SECOND;
 
-/// What an upstream does with a request.
+/// Response of an upstream to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Does {
-    Answers,
-    Sheds,
-    Fails,
+enum Response {
+    Answer,
+    Shed,
+    Fail,
 }
 
-/// How upstreams treat requests.
+/// Probabilities of the upstreams' responses.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     shed_percent: u8,
     fail_percent: u8,
-    /// Runs that are reported because they take much longer than usual.
+    /// Runs that are reported as stragglers.
     straggle_percent: u8,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// Requests of clients, one every few milliseconds, each to a node in turn.
+    /// Requests of clients, one every 7 ms, to each node in turn.
     Requests {
         count: u32,
         shed_percent: u8,
         fail_percent: u8,
-        once: bool,
+        non_repeatable: bool,
         straggle_percent: u8,
     },
-    /// A node starts anew.
     Restart(usize),
-    /// Nothing happens.
-    Quiet(u64),
+    /// No request for this many milliseconds.
+    Idle(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (100..1_500u32, 0..=100u8, 0..=40u8, any::<bool>(), 0..=60u8).prop_map(
-            |(count, shed_percent, fail_percent, once, straggle_percent)| Step::Requests {
+            |(count, shed_percent, fail_percent, non_repeatable, straggle_percent)| Step::Requests {
                 count,
                 shed_percent,
                 fail_percent,
-                once,
+                non_repeatable,
                 straggle_percent,
             }
         ),
         3 => (0..NODES).prop_map(Step::Restart),
-        1 => (0..15_000u64).prop_map(Step::Quiet),
+        1 => (0..15_000u64).prop_map(Step::Idle),
     ]
 }
 
-/// What arrived at the upstreams of one service.
+/// Requests of clients to one service, and repeats that arrived at its upstreams.
 #[derive(Debug, Default)]
 struct Arrivals {
     requests: VecDeque<Moment>,
@@ -82,27 +82,28 @@
 }
 
 impl Arrivals {
-    fn within(times: &VecDeque<Moment>, from: u64) -> usize {
+    fn count_in_window(times: &VecDeque<Moment>, from: u64) -> usize {
         let inside = |at: &&Moment| at.0 >= from && at.0 < from + WINDOW_US;
         times.iter().filter(inside).count()
     }
 
-    /// In each window that begins with a repeat: no more than the ratio of the requests in it, or in
-    /// the one before, or in the one half a window before, and the slack.
+    /// Checks each window that begins with a repeat. Its repeats may be at most the ratio of the
+    /// requests, plus the slack. The requests are those of the window itself, of the one before, or
+    /// of the one half a window earlier, whichever has the most.
     fn check(&self) {
         for start in &self.repeats {
             let from = start.0;
-            let repeats = Self::within(&self.repeats, from) as f64;
+            let repeats = Self::count_in_window(&self.repeats, from) as f64;
             let starts = [
                 from,
                 from.saturating_sub(WINDOW_US / 2),
                 from.saturating_sub(WINDOW_US),
             ];
-            let requests = starts.map(|from| Self::within(&self.requests, from));
-            let most = *requests.iter().max().expect("three windows");
+            let requests = starts.map(|from| Self::count_in_window(&self.requests, from));
+            let max_requests = *requests.iter().max().expect("three windows");
             assert!(
-                repeats <= RATIO * most as f64 + SLACK,
-                "{repeats} repeats for {most} requests in the window from {from}"
+                repeats <= RATIO * max_requests as f64 + SLACK,
+                "{repeats} repeats for {max_requests} requests in the window from {from}"
             );
         }
     }
@@ -112,8 +113,8 @@
     now: Moment,
     nodes: Vec<Entry>,
     boots: u64,
-    random: u64,
-    /// Second attempts that ran beside the first.
+    rng_state: u64,
+    /// Hedged attempts that ran at the same time as the first.
     hedges: u64,
     outer: Arrivals,
     inner: Arrivals,
@@ -125,19 +126,19 @@
             now: Moment(1),
             nodes: Vec::new(),
             boots: 0,
-            random: 1,
+            rng_state: 1,
             hedges: 0,
             outer: Arrivals::default(),
             inner: Arrivals::default(),
         };
         for _ in 0..NODES {
-            let node = world.started();
+            let node = world.new_node();
             world.nodes.push(node);
         }
         world
     }
 
-    fn started(&mut self) -> Entry {
+    fn new_node(&mut self) -> Entry {
         self.boots += 1;
         let mut node = Entry::new(BootId(self.boots), SelectionRule::Expected, self.boots);
         node.set_retry_config(RetryBudgetConfig::node_share(RATIO, SLACK, NODES));
@@ -145,32 +146,32 @@
         node
     }
 
-    /// A number below a hundred.
+    /// A pseudorandom number from 0 to 99.
     fn percent(&mut self) -> u8 {
-        self.random = self
-            .random
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        ((self.random >> 33) % 100) as u8
+        ((self.rng_state >> 33) % 100) as u8
     }
 
-    fn does(&mut self, load: Load) -> Does {
+    fn response(&mut self, load: Load) -> Response {
         if self.percent() < load.shed_percent {
-            return Does::Sheds;
+            return Response::Shed;
         }
         if self.percent() < load.fail_percent {
-            return Does::Fails;
+            return Response::Fail;
         }
-        Does::Answers
+        Response::Answer
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Requests {
                 count,
                 shed_percent,
                 fail_percent,
-                once,
+                non_repeatable,
                 straggle_percent,
             } => {
                 let load = Load {
@@ -182,18 +183,25 @@
                     self.now = self.now + 7 * MILLISECOND;
                     let service = if i % 3 == 0 { "inner" } else { "outer" };
                     let node = i % NODES;
-                    self.request(node, service, Origin::Client, once, load);
+                    self.request(node, service, Origin::Client, non_repeatable, load);
                 }
             }
-            Step::Restart(node) => self.nodes[node] = self.started(),
-            Step::Quiet(ms) => self.now = self.now + ms * MILLISECOND,
+            Step::Restart(node) => self.nodes[node] = self.new_node(),
+            Step::Idle(ms) => self.now = self.now + ms * MILLISECOND,
         }
     }
 
-    /// Takes one request to its outcome.
-    fn request(&mut self, node: usize, service: &str, origin: Origin, once: bool, load: Load) {
+    /// Runs one call to its outcome.
+    fn request(
+        &mut self,
+        node: usize,
+        service: &str,
+        origin: Origin,
+        non_repeatable: bool,
+        load: Load,
+    ) {
         let treatment = Treatment {
-            repeatable: !once,
+            repeatable: !non_repeatable,
             priority: 1,
             max_runs: 2,
             max_arrivals: 2,
@@ -206,10 +214,10 @@
             let now = self.now;
             self.arrivals(service).requests.push_back(now);
         }
-        let mut seen = false;
+        let mut has_arrived = false;
         let mut event = Event::Begin;
-        // Attempts at work: the first, and perhaps a second beside it.
-        let mut running: Vec<(AttemptId, Does)> = Vec::new();
+        // Running attempts: the first, and possibly a hedge.
+        let mut running: Vec<(AttemptId, Response)> = Vec::new();
         loop {
             let actions = call.step(self.now, event, &mut self.nodes[node]);
             let offer = actions.into_iter().find_map(|action| match action {
@@ -220,30 +228,33 @@
                 return;
             }
             if let Some((id, to, repeat)) = offer {
-                if repeat && !self.nodes[home_of(&to)].may_run_repeat() {
+                if repeat && !self.nodes[node_index(&to)].may_run_repeat() {
                     event = Event::Refused(id, refusal(Reason::Busy));
                     continue;
                 }
                 let now = self.now;
-                if seen || origin == Origin::UpstreamRepeat {
-                    assert!(repeat, "an upstream is not told that a request is a repeat");
+                if has_arrived || origin == Origin::UpstreamRepeat {
+                    assert!(
+                        repeat,
+                        "an offer after an arrival is not marked as a repeat"
+                    );
                     self.arrivals(service).repeats.push_back(now);
                 }
                 assert!(
-                    !seen || !once || running.is_empty(),
-                    "two runs of what may run once"
+                    !has_arrived || !non_repeatable || running.is_empty(),
+                    "two runs of a non-repeatable request"
                 );
-                seen = true;
-                let does = self.does(load);
-                if does != Does::Sheds && service == "outer" {
+                has_arrived = true;
+                let response = self.response(load);
+                if response != Response::Shed && service == "outer" {
                     let origin = if repeat {
                         Origin::UpstreamRepeat
                     } else {
                         Origin::Upstream
                     };
-                    self.request(home_of(&to), "inner", origin, false, load);
+                    self.request(node_index(&to), "inner", origin, false, load);
                 }
-                running.push((id, does));
+                running.push((id, response));
                 if running.len() == 1 && self.percent() < load.straggle_percent {
                     event = Event::Straggles(id);
                     continue;
@@ -251,15 +262,15 @@
             }
             self.hedges += u64::from(running.len() == 2);
             let pick = usize::from(self.percent()) % running.len();
-            let (id, does) = running.remove(pick);
-            event = match does {
-                Does::Sheds => Event::Refused(id, refusal(Reason::Shed)),
-                Does::Fails => Event::Answered {
+            let (id, response) = running.remove(pick);
+            event = match response {
+                Response::Shed => Event::Refused(id, refusal(Reason::Shed)),
+                Response::Fail => Event::Answered {
                     id,
                     answer: 1,
                     error: true,
                 },
-                Does::Answers => Event::Answered {
+                Response::Answer => Event::Answered {
                     id,
                     answer: 1,
                     error: false,
@@ -285,8 +296,10 @@
     }
 }
 
-fn home_of(vm: &Name) -> usize {
-    vm.as_str().parse().expect("a node's number")
+fn node_index(vm: &Name) -> usize {
+    vm.as_str()
+        .parse()
+        .expect("VMs have the numbers of nodes as names")
 }
 
 fn refusal(reason: Reason) -> Refusal {
@@ -305,37 +318,37 @@
     })]
 
     #[test]
-    fn no_window_sees_more_repeats_than_the_fleet_may_make(
+    fn repeats_stay_within_the_bound_of_the_fleet_in_every_window(
         steps in prop::collection::vec(step(), 2..12)
     ) {
         let mut world = World::new();
         for step in steps {
-            world.take(step);
+            world.apply(step);
         }
         world.outer.check();
         world.inner.check();
     }
 }
 
-/// Guards against a bound that holds only because no second attempt is made.
+/// Guards against a bound that holds only because no hedged attempt is made.
 #[test]
-fn many_second_attempts_stay_within_the_bound() {
+fn many_hedged_attempts_stay_within_the_bound() {
     let mut world = World::new();
     for _ in 0..10 {
-        world.take(Step::Requests {
+        world.apply(Step::Requests {
             count: 1_500,
             shed_percent: 0,
             fail_percent: 0,
-            once: false,
+            non_repeatable: false,
             straggle_percent: 60,
         });
     }
-    assert!(world.hedges > 300, "{} second attempts", world.hedges);
+    assert!(world.hedges > 300, "{} hedged attempts", world.hedges);
     world.outer.check();
     world.inner.check();
 }
 
-/// A call of a client with one token's worth of requests before it.
+/// A call of a client after `requests` other calls have made deposits to the budget.
 fn call_after(requests: u32) -> (Call<u64>, Entry) {
     let mut entry = Entry::new(BootId(1), SelectionRule::Expected, 1);
     let treatment = Treatment {
@@ -355,15 +368,15 @@
         )
     };
     for _ in 0..requests {
-        let mut earlier: Call<u64> = call();
-        earlier.step(Moment(1), Event::Begin, &mut entry);
-        earlier.step(Moment(1), Event::CallerDisconnected, &mut entry);
+        let mut earlier_call: Call<u64> = call();
+        earlier_call.step(Moment(1), Event::Begin, &mut entry);
+        earlier_call.step(Moment(1), Event::CallerDisconnected, &mut entry);
     }
     (call(), entry)
 }
 
-/// The outcome of a call that every upstream turns away unrun.
-fn turned_away(call: &mut Call<u64>, entry: &mut Entry) -> (u32, Outcome<u64>) {
+/// Number of offers and the outcome of a call that every upstream sheds.
+fn shed_everywhere(call: &mut Call<u64>, entry: &mut Entry) -> (u32, Outcome<u64>) {
     let mut event = Event::Begin;
     let mut arrivals = 0;
     loop {
@@ -379,17 +392,17 @@
 }
 
 #[test]
-fn a_request_that_was_turned_away_goes_on_only_if_the_budget_allows_it() {
+fn shed_request_is_offered_again_only_within_the_budget() {
     let (mut call, mut entry) = call_after(0);
-    let (arrivals, outcome) = turned_away(&mut call, &mut entry);
+    let (arrivals, outcome) = shed_everywhere(&mut call, &mut entry);
     assert_eq!(arrivals, 1);
     assert_eq!(outcome, Outcome::NotRun(refusal(Reason::Shed)));
     let (mut call, mut entry) = call_after(20);
-    assert_eq!(turned_away(&mut call, &mut entry).0, 2);
+    assert_eq!(shed_everywhere(&mut call, &mut entry).0, 2);
 }
 
 #[test]
-fn a_repeat_that_reaches_no_upstream_costs_nothing() {
+fn repeat_that_reaches_no_upstream_is_refunded() {
     let (mut call, mut entry) = call_after(10);
     let mut event = Event::Begin;
     for reason in [Reason::Shed, Reason::Busy, Reason::Deadline] {
@@ -410,5 +423,5 @@
     };
     let candidates = (0..UPSTREAMS).map(candidate).collect();
     let mut next = Call::new("s".into(), treatment, Moment(9 * SECOND), candidates);
-    assert_eq!(turned_away(&mut next, &mut entry).0, 2);
+    assert_eq!(shed_everywhere(&mut next, &mut entry).0, 2);
 }
--- a/components/entry/tests/suspect.rs
+++ b/components/entry/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! The way of a request under which an upstream has ended.
+//! Where a request is offered after an upstream terminated while running it.
 
 use entry::{Action, Call, Candidate, Entry, Event, Origin, Outcome, SelectionRule, Treatment};
 use home::{Reason, Refusal, Suspicion};
@@ -9,7 +9,7 @@
 
 fn entry() -> Entry {
     let mut entry = Entry::new(BootId(1), SelectionRule::Priced, 7);
-    // Every node has earned a few second runs.
+    // Fills the retry budget.
     for _ in 0..50 {
         let mut call = call(true);
         call.step(NOW, Event::Begin, &mut entry);
@@ -38,8 +38,8 @@
     vms.iter().map(|vm| Name::from(*vm)).collect()
 }
 
-/// The offer among the actions.
-fn offered(actions: &[Action<u64>]) -> (AttemptId, String, Suspicion) {
+/// The only action, which must be an offer.
+fn single_offer(actions: &[Action<u64>]) -> (AttemptId, String, Suspicion) {
     match actions {
         [Action::Offer {
             id, to, suspicion, ..
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_request_whose_upstream_ended_runs_once_more_alone_where_all_nodes_would_send_it() {
+fn request_of_a_terminated_upstream_runs_again_alone_at_the_first_vm_of_its_order() {
     let mut entry = entry();
     let mut call = call(true);
-    let (id, _, suspicion) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, _, suspicion) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     assert_eq!(suspicion, Suspicion::None);
     let order = order(&["d", "e"]);
     let event = Event::UpstreamTerminated { id, order };
-    let (id, to, suspicion) = offered(&call.step(NOW, event, &mut entry));
+    let (id, to, suspicion) = single_offer(&call.step(NOW, event, &mut entry));
     assert_eq!((to.as_str(), suspicion), ("d", Suspicion::Alone));
     let answered = Event::Answered {
         id,
@@ -82,16 +82,16 @@
 }
 
 #[test]
-fn a_request_under_which_two_upstreams_ended_reaches_no_third_and_is_unknown() {
+fn request_that_terminated_two_upstreams_is_unknown_and_reaches_no_third() {
     let mut entry = entry();
     let mut call = call(true);
-    let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     let event = Event::UpstreamTerminated {
         id,
         order: order(&["d", "e"]),
     };
-    let (id, ..) = offered(&call.step(NOW, event, &mut entry));
-    // What the others know of it does not matter: this one call has done enough.
+    let (id, ..) = single_offer(&call.step(NOW, event, &mut entry));
+    // The order is not empty, but a second termination ends the call in any case.
     let event = Event::UpstreamTerminated {
         id,
         order: order(&["e", "f"]),
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn a_request_that_is_held_meanwhile_is_unknown() {
+fn request_quarantined_while_it_ran_is_unknown() {
     let mut entry = entry();
     let mut call = call(true);
-    let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     let event = Event::UpstreamTerminated {
         id,
         order: Vec::new(),
@@ -114,10 +114,10 @@
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_is_unknown_once_its_upstream_has_ended() {
+fn non_repeatable_request_of_a_terminated_upstream_is_unknown() {
     let mut entry = entry();
     let mut call = call(false);
-    let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     let event = Event::UpstreamTerminated {
         id,
         order: order(&["d", "e"]),
@@ -127,31 +127,31 @@
 }
 
 #[test]
-fn a_copy_is_offered_alone_then_beside_others_and_never_out_of_its_order() {
+fn copy_is_offered_alone_then_shared_and_only_to_vms_of_its_order() {
     let mut entry = entry();
     let mut call = call(true).with_suspect_order(order(&["d", "e"]));
     let busy = |id| Event::Refused(id, refusal(Reason::Busy));
-    let (id, to, suspicion) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, to, suspicion) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     assert_eq!((to.as_str(), suspicion), ("d", Suspicion::Alone));
-    let (id, to, suspicion) = offered(&call.step(NOW, busy(id), &mut entry));
+    let (id, to, suspicion) = single_offer(&call.step(NOW, busy(id), &mut entry));
     assert_eq!((to.as_str(), suspicion), ("e", Suspicion::Alone));
-    let (id, to, suspicion) = offered(&call.step(NOW, busy(id), &mut entry));
+    let (id, to, suspicion) = single_offer(&call.step(NOW, busy(id), &mut entry));
     assert_eq!((to.as_str(), suspicion), ("d", Suspicion::Shared));
-    let (id, to, suspicion) = offered(&call.step(NOW, busy(id), &mut entry));
+    let (id, to, suspicion) = single_offer(&call.step(NOW, busy(id), &mut entry));
     assert_eq!((to.as_str(), suspicion), ("e", Suspicion::Shared));
     let actions = call.step(NOW, busy(id), &mut entry);
     assert_eq!(
         outcome(actions),
         Outcome::NotRun(refusal(Reason::Busy)),
-        "it has not run anywhere"
+        "no attempt has run"
     );
 }
 
 #[test]
-fn a_copy_beside_one_that_runs_is_not_run_and_says_so() {
+fn copy_refused_as_quarantined_is_reported_as_not_run() {
     let mut entry = entry();
     let mut call = call(true).with_suspect_order(order(&["d", "e"]));
-    let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     let refused = Event::Refused(id, refusal(Reason::Quarantined));
     let actions = call.step(NOW, refused, &mut entry);
     assert_eq!(
@@ -161,51 +161,55 @@
 }
 
 #[test]
-fn a_second_run_that_is_refused_leaves_the_request_unknown() {
+fn request_whose_second_run_is_refused_is_unknown() {
     let mut entry = entry();
     let mut call = call(true);
-    let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
     let event = Event::UpstreamTerminated {
         id,
         order: order(&["d"]),
     };
-    let (id, ..) = offered(&call.step(NOW, event, &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, event, &mut entry));
     let refused = Event::Refused(id, refusal(Reason::Quarantined));
     let actions = call.step(NOW, refused, &mut entry);
     assert_eq!(outcome(actions), Outcome::Unknown(Reason::Quarantined));
 }
 
 #[test]
-fn a_vm_that_can_not_be_reached_is_passed_over() {
+fn unreachable_vm_is_skipped() {
     let mut entry = entry();
     let mut call = call(true).with_suspect_order(order(&["d", "e"]));
-    let (id, ..) = offered(&call.step(NOW, Event::Begin, &mut entry));
-    let (_, to, suspicion) = offered(&call.step(NOW, Event::NotSent(id), &mut entry));
+    let (id, ..) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
+    let (_, to, suspicion) = single_offer(&call.step(NOW, Event::NotSent(id), &mut entry));
     assert_eq!((to.as_str(), suspicion), ("e", Suspicion::Alone));
 }
 
-/// Guards against a suspect that is offered again to the upstream that it ended: that upstream was not closed in the
-/// order of the suspect when it ended under one of two attempts.
+/// Guards against a suspect that is offered again to the upstream that it terminated. An
+/// upstream that terminated while it ran one of two attempts was not excluded from the suspect's
+/// order.
 #[test]
-fn a_request_that_ended_an_upstream_under_one_of_two_attempts_goes_to_neither_again() {
-    for second_ends in [false, true] {
+fn hedged_request_that_terminated_an_upstream_returns_to_neither_vm() {
+    for hedge_terminates in [false, true] {
         let mut entry = entry();
         let mut call = call(true);
-        let (first, first_to, _) = offered(&call.step(NOW, Event::Begin, &mut entry));
-        let (second, second_to, _) =
-            offered(&call.step(NOW + 60_000, Event::Straggles(first), &mut entry));
-        let (ends, goes_on) = if second_ends {
-            (second, first)
+        let (first, first_to, _) = single_offer(&call.step(NOW, Event::Begin, &mut entry));
+        let (hedge, hedge_to, _) =
+            single_offer(&call.step(NOW + 60_000, Event::Straggles(first), &mut entry));
+        let (terminated, remaining) = if hedge_terminates {
+            (hedge, first)
         } else {
-            (first, second)
+            (first, hedge)
+        };
+        let other = VMS.iter().find(|vm| **vm != first_to && **vm != hedge_to);
+        let other = *other.expect("there are six upstreams");
+        let order = order(&[&first_to, &hedge_to, other]);
+        let event = Event::UpstreamTerminated {
+            id: terminated,
+            order,
         };
-        let other = VMS.iter().find(|vm| **vm != first_to && **vm != second_to);
-        let other = *other.expect("a third upstream");
-        let order = order(&[&first_to, &second_to, other]);
-        let event = Event::UpstreamTerminated { id: ends, order };
         assert!(call.step(NOW + 61_000, event, &mut entry).is_empty());
-        let busy = Event::Refused(goes_on, refusal(Reason::Busy));
-        let (_, to, suspicion) = offered(&call.step(NOW + 62_000, busy, &mut entry));
+        let busy = Event::Refused(remaining, refusal(Reason::Busy));
+        let (_, to, suspicion) = single_offer(&call.step(NOW + 62_000, busy, &mut entry));
         assert_eq!((to.as_str(), suspicion), (other, Suspicion::Alone));
     }
 }
