--- a/components/entry/src/price.rs
+++ b/components/entry/src/price.rs
@@ -55,6 +55,6 @@
         return INNER_CROSSING_FRACTION;
     }
     let steps = f64::from(HIGHEST_PRIORITY - priority);
-    let (min, max) = CROSSING_FRACTION;
-    min + (max - min) * (steps / CROSSING_STEPS).min(1.0)
+    let (most_urgent, least_urgent) = CROSSING_FRACTION;
+    most_urgent + (least_urgent - most_urgent) * (steps / CROSSING_STEPS).min(1.0)
 }
--- a/components/entry/src/retry.rs
+++ b/components/entry/src/retry.rs
@@ -1,9 +1,9 @@
 //! Retry budget of one service.
 //!
 //! The bound applies to the entire fleet and to every window: the requests that reach an upstream
-//! again are at most a ratio of the service's requests, plus a slack. Each node deposits that ratio
-//! for each request that it accepts from a client, and its balance is limited to its share of the
-//! slack. A new budget is empty; otherwise each restart of a node would add slack.
+//! again are at most a ratio of the service's requests, plus a slack. Each node deposits a fraction
+//! of a repeat for each request that it accepts from a client, and its balance is limited to its
+//! share of the slack. A new budget is empty; otherwise each restart of a node would add slack.
 
 /// Fraction of a repeat deposited for each request where no bound is set.
 const DEFAULT_DEPOSIT: f64 = 0.1;
--- a/components/entry/tests/hedge_delay/replay.rs
+++ b/components/entry/tests/hedge_delay/replay.rs
@@ -19,7 +19,7 @@
 const REQUESTS: usize = 4_000;
 /// Index of the first request that counts. Home duties learn run times from the earlier ones.
 const FIRST_COUNTED: usize = 1_000;
-const WAY_US: u64 = 300;
+const NETWORK_DELAY_US: u64 = 300;
 const TICK_US: u64 = 5 * MILLISECOND;
 const TAIL_FRACTION: f64 = 0.03;
 const TAIL_FACTOR: f64 = 7.0;
@@ -331,10 +331,10 @@
                         known_limit: None,
                         account: None,
                     };
-                    self.schedule(now + WAY_US, SimEvent::Offered(index(&to), offer));
+                    self.schedule(now + NETWORK_DELAY_US, SimEvent::Offered(index(&to), offer));
                 }
                 Action::Cancel { id, to } => {
-                    self.schedule(now + WAY_US, SimEvent::Cancelled(index(&to), id));
+                    self.schedule(now + NETWORK_DELAY_US, SimEvent::Cancelled(index(&to), id));
                 }
                 Action::Query { .. } => panic!("all requests are repeatable"),
                 Action::Finish(outcome) => self.finished(request, &outcome),
@@ -367,7 +367,10 @@
 
     fn send_event(&mut self, at: usize, id: AttemptId, event: Event<usize>) {
         let (request, _) = self.attempts[&id];
-        self.schedule(self.now + WAY_US, SimEvent::Delivered(request, at, event));
+        self.schedule(
+            self.now + NETWORK_DELAY_US,
+            SimEvent::Delivered(request, at, event),
+        );
     }
 
     fn start(&mut self, at: usize, id: AttemptId) {
