--- a/components/audit/src/store.rs
+++ b/components/audit/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::limit::{allowed, Kind};
 use crate::purpose::Purpose;
-use era::{Era, Place};
+use era::{Era, Position};
 use errors::Error;
 use names::{Name, MILLISECOND};
 use platform::Stored;
@@ -14,7 +14,7 @@
     before: Era,
     era: Era,
     from: Option<&Name>,
-    place: Option<Place>,
+    place: Option<Position>,
     offer_in_us: u64,
 ) {
     tracing::info!(
@@ -28,7 +28,7 @@
 }
 
 /// Other halls are evacuated than before, as the store or `from` told; known up to `as_of`.
-pub fn halls_evacuated(halls: &BTreeSet<Name>, as_of: Option<Place>, from: Option<&Name>) {
+pub fn halls_evacuated(halls: &BTreeSet<Name>, as_of: Option<Position>, from: Option<&Name>) {
     let names: Vec<&str> = halls.iter().map(Name::as_str).collect();
     tracing::info!(
         halls = names.join(" "),
@@ -57,7 +57,7 @@
 }
 
 /// The records in the store were read.
-pub fn listed(count: usize, at: Place) {
+pub fn listed(count: usize, at: Position) {
     tracing::info!(
         count,
         at = at.revision,
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -39,7 +39,10 @@
 /// This node's record stands in the store of `era`.
 pub(super) fn done(node: &Node, registration: &Registration, era: Option<Era>) {
     let was_due = is_due(registration);
-    registration.eras.borrow_mut().offered(node.now(), era);
+    registration
+        .eras
+        .borrow_mut()
+        .record_stored(node.now(), era);
     if was_due {
         stats::record_offered("itself");
         tracing::info!(
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -257,7 +257,7 @@
         let put = store.put(kind, own.vm.as_str(), stands.revision, &value);
         let put = called(node, Purpose::OwnRecord, put).await;
         if put.is_err() {
-            registration.eras.borrow_mut().unanswered(node.now());
+            registration.eras.borrow_mut().write_unanswered(node.now());
         }
         match put? {
             Put::Done(at) => {
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::registration::{self, Registration};
 use audit::{stats, Purpose};
-use era::{Era, Place, Seen};
+use era::{Era, EraOrder, Position};
 use errors::Result;
 use names::Name;
 use rollout::Summary;
@@ -38,10 +38,10 @@
 }
 
 /// Up to where the declarations were read in the present era.
-pub fn place(node: &Node) -> Option<Place> {
+pub fn place(node: &Node) -> Option<Position> {
     let registration = node.registration.as_ref()?;
     let eras = registration.eras.borrow();
-    eras.place()
+    eras.position()
 }
 
 /// Takes in the era that the store's answers tell, after a call to it.
@@ -65,16 +65,16 @@
 }
 
 fn saw(node: &Rc<Node>, registration: &Registration, era: Era, from: Option<&Name>) {
-    let place = registration.eras.borrow().place();
-    let seen = registration.eras.borrow_mut().saw(node.now(), era);
+    let place = registration.eras.borrow().position();
+    let seen = registration.eras.borrow_mut().observe(node.now(), era);
     match seen {
-        Seen::Same | Seen::Earlier => {}
-        Seen::First => {
+        EraOrder::Same | EraOrder::Earlier => {}
+        EraOrder::First => {
             registration.adapter.store().know(era);
             stats::set("drumwheel_store_era", era.0 as f64);
             tracing::info!(%era, "the store's era is known");
         }
-        Seen::Later { from: before } => {
+        EraOrder::Later { from: before } => {
             registration.adapter.store().know(era);
             stats::set("drumwheel_store_era", era.0 as f64);
             stats::store_came_back();
--- a/components/daemon/src/watching/listed.rs
+++ b/components/daemon/src/watching/listed.rs
@@ -9,7 +9,7 @@
 use async_std::task;
 use audit::Origin;
 use audit::Purpose;
-use era::Place;
+use era::Position;
 use errors::{Error, Result, Step};
 use membership::VmList;
 use platform::Object;
@@ -73,7 +73,7 @@
 async fn take_head(node: &Rc<Node>, object: Object) -> Result<()> {
     let head = Head::from_bytes(&object.value)
         .map_err(|error| Error::new(Step::Platform, HEAD_KEY, error))?;
-    let wanted = node.rollout.borrow_mut().wants(&head, Place::default());
+    let wanted = node.rollout.borrow_mut().wants(&head, Position::default());
     if wanted.is_ok() {
         let objects = fetch(node, &head).await?;
         configuration::take_in(
@@ -81,7 +81,7 @@
             Configuration {
                 head,
                 objects,
-                read: Place::default(),
+                read: Position::default(),
             },
             Origin::Store,
         )
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -10,7 +10,7 @@
 use audit::stats::{self, Work};
 use audit::Origin;
 use audit::Purpose;
-use era::{Era, Place};
+use era::{Era, Position};
 use errors::{contained, Error, Result, Step};
 use platform::{Reading, Stored, Watched};
 use rollout::{Change, Unchecked};
@@ -24,7 +24,7 @@
 /// Asks for the declarations.
 pub async fn declarations(node: &Rc<Node>, manner: Manner) -> Result<()> {
     let registration = registration(node)?;
-    let place = registration.eras.borrow().place();
+    let place = registration.eras.borrow().position();
     let after = match (place, manner) {
         (Some(after), Manner::Now | Manner::Wait) => after,
         (None, Manner::Now | Manner::Wait) => return list(node, Reading::Newest).await,
@@ -52,7 +52,7 @@
         }
         Watched::Forgotten => {
             tracing::info!(after = after.revision, "the declarations are read anew");
-            registration.eras.borrow_mut().forget_place();
+            registration.eras.borrow_mut().forget_position();
             if manner == Manner::Now {
                 list(node, Reading::Newest).await?;
             }
@@ -122,7 +122,7 @@
             audit::copy_is_older(written.version, in_force, era);
             continue;
         }
-        let read = Place {
+        let read = Position {
             era,
             revision: object.revision,
         };
--- a/components/era/src/duty.rs
+++ b/components/era/src/duty.rs
@@ -1,6 +1,6 @@
 //! The state machine of one node.
 
-use crate::place::{Era, Place};
+use crate::place::{Era, Position};
 use names::{Moment, MILLISECOND, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,7 +15,7 @@
 
 /// What an era that was told is to this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum EraOrder {
     /// Known.
     Same,
     /// Over: whatever came with it says nothing of the present.
@@ -34,7 +34,7 @@
 pub struct Eras {
     known: Option<Era>,
     /// Up to which the declarations were read.
-    read: Option<Place>,
+    read: Option<Position>,
     /// When this node offers its record again.
     offer_at: Option<Moment>,
     /// Until when a write without an answer may still be done.
@@ -60,26 +60,26 @@
     }
 
     /// Takes in that the store, or another node, told of `era`.
-    pub fn saw(&mut self, now: Moment, era: Era) -> Seen {
+    pub fn observe(&mut self, now: Moment, era: Era) -> EraOrder {
         let Some(known) = self.known else {
             self.known = Some(era);
-            return Seen::First;
+            return EraOrder::First;
         };
         if era < known {
-            return Seen::Earlier;
+            return EraOrder::Earlier;
         }
         if era == known {
-            return Seen::Same;
+            return EraOrder::Same;
         }
         self.known = Some(era);
         self.read = None;
         let pause_us = self.rng.random_range(0..=OFFER_SPREAD_US);
         self.offer_at = Some(now + pause_us);
-        Seen::Later { from: known }
+        EraOrder::Later { from: known }
     }
 
     /// The declarations were read up to `at`. A place of another era says nothing.
-    pub fn read_up_to(&mut self, at: Place) {
+    pub fn read_up_to(&mut self, at: Position) {
         if at.era != self.known {
             return;
         }
@@ -90,17 +90,17 @@
     }
 
     /// Nothing is known of the history any more.
-    pub fn forget_place(&mut self) {
+    pub fn forget_position(&mut self) {
         self.read = None;
     }
 
     /// Up to which the declarations were read, in the present era.
-    pub fn place(&self) -> Option<Place> {
+    pub fn position(&self) -> Option<Position> {
         self.read.filter(|read| read.era == self.known)
     }
 
     /// Whether a word that belongs to `era` is of the present one.
-    pub fn is_present(&self, era: Option<Era>) -> bool {
+    pub fn is_current(&self, era: Option<Era>) -> bool {
         era == self.known
     }
 
@@ -111,7 +111,7 @@
 
     /// The record stands in the store of `era`. If a write from before may still be done over it, it is offered once
     /// more after that.
-    pub fn offered(&mut self, now: Moment, era: Option<Era>) {
+    pub fn record_stored(&mut self, now: Moment, era: Option<Era>) {
         if era != self.known {
             return;
         }
@@ -123,7 +123,7 @@
     }
 
     /// A write of the record got no answer.
-    pub fn unanswered(&mut self, now: Moment) {
+    pub fn write_unanswered(&mut self, now: Moment) {
         self.in_doubt_until = Some(now + LATE_WRITE_US);
     }
 }
--- a/components/era/src/place.rs
+++ b/components/era/src/place.rs
@@ -19,7 +19,7 @@
 /// A place in the store's history. Two places of different eras have no order in time: both eras may begin with the
 /// same changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
-pub struct Place {
+pub struct Position {
     /// The era; none where the store tells none.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub era: Option<Era>,
@@ -28,15 +28,15 @@
     pub revision: u64,
 }
 
-impl Place {
+impl Position {
     /// Whether this is the default: no place at all.
     pub fn is_none(&self) -> bool {
-        *self == Place::default()
+        *self == Position::default()
     }
 
     /// Whether what was read here goes before what was read at `other`, where both have the same number: operators
     /// write again what a return has lost, and need not write the same.
-    pub fn goes_before(&self, other: &Place) -> bool {
+    pub fn supersedes(&self, other: &Position) -> bool {
         (self.era, self.revision) > (other.era, other.revision)
     }
 }
--- a/components/evacuation/src/duty.rs
+++ b/components/evacuation/src/duty.rs
@@ -1,6 +1,6 @@
 //! The state machine of one node.
 
-use era::Place;
+use era::Position;
 use names::{Moment, Name, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 pub struct Evacuated {
     /// Up to where in the store's history this is known.
     #[serde(rename = "w")]
-    pub as_of: Place,
+    pub as_of: Position,
     /// The halls.
     #[serde(rename = "h", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub halls: BTreeSet<Name>,
@@ -36,7 +36,7 @@
     }
 
     /// Up to where the store was read.
-    pub fn as_of(&self) -> Option<Place> {
+    pub fn as_of(&self) -> Option<Position> {
         self.known.as_ref().map(|known| known.as_of)
     }
 
@@ -59,7 +59,7 @@
     pub fn take(&mut self, now: Moment, told: Evacuated) -> bool {
         let before = self.halls(now);
         match &self.known {
-            Some(known) if !told.as_of.goes_before(&known.as_of) => return false,
+            Some(known) if !told.as_of.supersedes(&known.as_of) => return false,
             Some(known) if told.as_of.era != known.as_of.era => {
                 let lost = known.halls.difference(&told.halls).cloned();
                 let until = now + REWRITTEN_US;
@@ -79,7 +79,7 @@
     pub fn change(
         &mut self,
         now: Moment,
-        as_of: Place,
+        as_of: Position,
         evacuated: impl IntoIterator<Item = Name>,
         taken_back: &[Name],
     ) -> bool {
@@ -100,7 +100,7 @@
         };
         match theirs {
             None => !known.halls.is_empty(),
-            Some(theirs) => known.halls != theirs.halls && known.as_of.goes_before(&theirs.as_of),
+            Some(theirs) => known.halls != theirs.halls && known.as_of.supersedes(&theirs.as_of),
         }
     }
 }
--- a/components/evacuation/tests/evacuations.rs
+++ b/components/evacuation/tests/evacuations.rs
@@ -1,6 +1,6 @@
 //! What a node believes of evacuated halls: in whatever order words come, the newest one holds.
 
-use era::{Era, Place};
+use era::{Era, Position};
 use evacuation::{Evacuated, Evacuations, REWRITTEN_US};
 use names::{Moment, Name, SECOND};
 use proptest::prelude::*;
@@ -8,8 +8,8 @@
 
 const NOW: Moment = Moment(50 * SECOND);
 
-fn place(era: u64, revision: u64) -> Place {
-    Place {
+fn place(era: u64, revision: u64) -> Position {
+    Position {
         era: Some(Era(era)),
         revision,
     }
--- a/components/operator/src/read.rs
+++ b/components/operator/src/read.rs
@@ -1,6 +1,6 @@
 //! Reading from the platform.
 
-use era::Place;
+use era::Position;
 use errors::{Error, Result, Step};
 use membership::VmList;
 use platform::Client;
@@ -27,7 +27,7 @@
     Ok(Configuration {
         head,
         objects,
-        read: Place::default(),
+        read: Position::default(),
     })
 }
 
--- a/components/platform/src/store.rs
+++ b/components/platform/src/store.rs
@@ -2,7 +2,7 @@
 //! conditional writes and watches. An adapter speaks the platform's own words behind it.
 
 use declarations::Bundle;
-use era::{Era, Place};
+use era::{Era, Position};
 use errors::Result;
 use names::Name;
 use registry::{Heartbeat, Incarnation};
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
     /// Where the store stood when they were listed.
-    pub at: Place,
+    pub at: Position,
     /// The objects.
     pub objects: Vec<Stored>,
 }
@@ -49,7 +49,7 @@
     /// Changes, in their order; none when the wait is over.
     Changes {
         /// Where the next watch begins.
-        at: Place,
+        at: Position,
         /// Objects that were written.
         changed: Vec<Stored>,
         /// Objects that were there and are no more.
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Put {
     /// It took effect, at this place.
-    Done(Place),
+    Done(Position),
     /// The condition did not hold: the object as it stands, or none when it doesn't exist.
     Conflict(Option<Stored>),
 }
--- a/components/rollout/src/made.rs
+++ b/components/rollout/src/made.rs
@@ -3,7 +3,7 @@
 use crate::head::{split_sections, Change, Head};
 use crate::node::Configuration;
 use declarations::Bundle;
-use era::Place;
+use era::Position;
 
 /// A revision that was not checked yet.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
 
 impl Unchecked {
     /// The revision that this node makes of files which it read at `read`. Every node makes the same of the same.
-    pub fn make(revision: u64, change: Change, bundle: Bundle, read: Place) -> Unchecked {
+    pub fn make(revision: u64, change: Change, bundle: Bundle, read: Position) -> Unchecked {
         let (files, objects) = split_sections(&bundle);
         let head = Head {
             revision,
--- a/components/rollout/src/node.rs
+++ b/components/rollout/src/node.rs
@@ -4,7 +4,7 @@
 use crate::made::Unchecked;
 use crate::recent::Recent;
 use declarations::{Bundle, CheckSteps, Declarations};
-use era::{Era, Place};
+use era::{Era, Position};
 use evacuation::Evacuated;
 use names::Name;
 use serde::{Deserialize, Serialize};
@@ -37,8 +37,8 @@
     #[serde(rename = "c", default)]
     pub content: u64,
     /// Where the content was last read in the store.
-    #[serde(rename = "w", default, skip_serializing_if = "Place::is_none")]
-    pub read: Place,
+    #[serde(rename = "w", default, skip_serializing_if = "Position::is_none")]
+    pub read: Position,
     /// Halls that are evacuated; none when nothing is known of that.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub evacuated: Option<Evacuated>,
@@ -76,7 +76,7 @@
         if self.revision != other.revision {
             return self.revision > other.revision;
         }
-        self.content != other.content && self.read.goes_before(&other.read)
+        self.content != other.content && self.read.supersedes(&other.read)
     }
 
     fn has_content_of(&self, other: &Summary) -> bool {
@@ -92,8 +92,8 @@
     /// The content objects that it names.
     pub objects: BTreeMap<Digest, ByteBuf>,
     /// Where it was read in the platform's store.
-    #[serde(default, skip_serializing_if = "Place::is_none")]
-    pub read: Place,
+    #[serde(default, skip_serializing_if = "Position::is_none")]
+    pub read: Position,
 }
 
 impl Configuration {
@@ -176,9 +176,9 @@
     change_bytes: u64,
     recent: Recent,
     /// Where the content in force was last read.
-    read: Place,
+    read: Position,
     /// Revision that is being checked, and where it was read; the newest if there are several.
-    checking: Option<(u64, Place)>,
+    checking: Option<(u64, Position)>,
     counters: RolloutCounters,
 }
 
@@ -248,13 +248,13 @@
     }
 
     /// Where the content in force was last read.
-    pub fn read(&self) -> Place {
+    pub fn read(&self) -> Position {
         self.read
     }
 
     /// The content in force was read at `at` as well, here or by another node.
-    pub fn read_again(&mut self, at: Place) {
-        if at.goes_before(&self.read) {
+    pub fn read_again(&mut self, at: Position) {
+        if at.supersedes(&self.read) {
             self.read = at;
         }
     }
@@ -270,7 +270,7 @@
     }
 
     /// Whether a head that was read at `read` is worth fetching content for. Counts heads that are not.
-    pub fn wants(&mut self, head: &Head, read: Place) -> Result<(), Offered> {
+    pub fn wants(&mut self, head: &Head, read: Position) -> Result<(), Offered> {
         let Some(in_force) = &self.in_force else {
             return Ok(());
         };
@@ -286,7 +286,7 @@
             self.read_again(read);
             return Err(Offered::Same);
         }
-        if read.goes_before(&self.read) {
+        if read.supersedes(&self.read) {
             // The store lost what is in force, and the operators gave its number to something else.
             return Ok(());
         }
@@ -372,9 +372,9 @@
         Offered::Taken
     }
 
-    fn is_under_way(&self, revision: u64, read: Place) -> bool {
+    fn is_under_way(&self, revision: u64, read: Position) -> bool {
         match self.checking {
-            Some((checked, at)) if checked == revision => !read.goes_before(&at),
+            Some((checked, at)) if checked == revision => !read.supersedes(&at),
             Some((checked, _)) => revision < checked,
             None => false,
         }
--- a/components/rollout/tests/rollout/differences.rs
+++ b/components/rollout/tests/rollout/differences.rs
@@ -1,7 +1,7 @@
 //! The difference shown to operators, and revisions a node must not take.
 
 use declarations::Bundle;
-use era::Place;
+use era::Position;
 use rollout::{diff, Configuration, Offered, Rollout};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 }
 
 fn configuration(revision: u64, policy: &str) -> Configuration {
-    crate::revision(revision, &bundle(policy), Place::default())
+    crate::revision(revision, &bundle(policy), Position::default())
 }
 
 #[test]
--- a/components/rollout/tests/rollout/lacking.rs
+++ b/components/rollout/tests/rollout/lacking.rs
@@ -3,7 +3,7 @@
 //! than a change may take.
 
 use declarations::Bundle;
-use era::Place;
+use era::Position;
 use proptest::prelude::*;
 use rollout::{split_sections, Change, Configuration, Head, Offered, Rollout, LARGE_BYTES};
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
             files,
         },
         objects,
-        read: Place::default(),
+        read: Position::default(),
     }
 }
 
--- a/components/rollout/tests/rollout/made.rs
+++ b/components/rollout/tests/rollout/made.rs
@@ -4,7 +4,7 @@
 //! objects, and each was digested again and put together before the check.
 
 use declarations::Bundle;
-use era::Place;
+use era::Position;
 use rollout::{split_sections, Change, Checking, Head, Offered, Rollout, Unchecked};
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 }
 
 fn made(routes: usize) -> Unchecked {
-    Unchecked::make(1, change(), bundle(routes), Place::default())
+    Unchecked::make(1, change(), bundle(routes), Position::default())
 }
 
 fn finish(rollout: &mut Rollout, mut checking: Checking) -> Offered {
@@ -66,7 +66,7 @@
         change: change(),
         files,
     };
-    let made = Unchecked::make(1, change(), bundle, Place::default());
+    let made = Unchecked::make(1, change(), bundle, Position::default());
     assert_eq!(made.configuration().head, head);
     assert_eq!(made.configuration().objects, objects);
 }
@@ -82,7 +82,7 @@
             Bundle {
                 files: files.clone(),
             },
-            Place::default(),
+            Position::default(),
         )
     };
     let told = made().configuration().clone();
--- a/components/rollout/tests/rollout/main.rs
+++ b/components/rollout/tests/rollout/main.rs
@@ -10,11 +10,11 @@
 mod world;
 
 use declarations::Bundle;
-use era::Place;
+use era::Position;
 use rollout::{split, Change, Configuration, Head};
 
 /// A revision with these files, read at `read`.
-pub fn revision(revision: u64, bundle: &Bundle, read: Place) -> Configuration {
+pub fn revision(revision: u64, bundle: &Bundle, read: Position) -> Configuration {
     let (files, objects) = split(bundle);
     let change = Change {
         id: revision.to_string(),
--- a/components/rollout/tests/rollout/returns.rs
+++ b/components/rollout/tests/rollout/returns.rs
@@ -1,7 +1,7 @@
 //! A store that lost a revision and was given another one under its number.
 
 use declarations::Bundle;
-use era::{Era, Place};
+use era::{Era, Position};
 use rollout::{Configuration, Offered, Rollout, Summary};
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
          services = one:1\ndeadline_ms = {deadline_ms}\n"
     );
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
-    let read = Place {
+    let read = Position {
         era: Some(Era(read.0)),
         revision: read.1,
     };
--- a/components/rollout/tests/rollout/reuse.rs
+++ b/components/rollout/tests/rollout/reuse.rs
@@ -7,7 +7,7 @@
 //! on such nodes.
 
 use declarations::{Bundle, Route};
-use era::Place;
+use era::Position;
 use rollout::{split, Checking, Configuration, Offered, Rollout};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
         text += &format!("services = one:1\ndeadline_ms = {deadline_ms}\n\n");
     }
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
-    crate::revision(revision, &Bundle { files }, Place::default())
+    crate::revision(revision, &Bundle { files }, Position::default())
 }
 
 fn routes(rollout: &Rollout) -> BTreeMap<String, Arc<Route>> {
--- a/components/rollout/tests/rollout/world.rs
+++ b/components/rollout/tests/rollout/world.rs
@@ -2,7 +2,7 @@
 //! an oracle of what was accepted.
 
 use declarations::Bundle;
-use era::Place;
+use era::Position;
 use rollout::{
     Apply, ApplyAction, ApplyEvent, ApplyOutcome, Change, Configuration, Digest, Head, Offered,
     Plan, Rollout,
@@ -281,7 +281,7 @@
         Configuration {
             head,
             objects,
-            read: Place::default(),
+            read: Position::default(),
         }
     }
 
