--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -111,7 +111,7 @@
 
     /// Whether the upstreams of a hall get no new work, because operators say so.
     pub fn is_evacuated(&self, now: Moment, hall: &Name) -> bool {
-        self.evacuations.borrow().covers(now, hall)
+        self.evacuations.borrow().is_evacuated(now, hall)
     }
 
     fn store_soon(&self) {
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -53,7 +53,7 @@
     let is_news = registration
         .evacuations
         .borrow_mut()
-        .change(now, at, evacuated, &removed);
+        .apply_changes(now, at, evacuated, &removed);
     if is_news {
         carry_out(node, &registration, None);
     }
@@ -90,7 +90,7 @@
 
 fn take(node: &Rc<Node>, registration: &Rc<Registration>, told: Evacuated, from: Option<&Name>) {
     let now = node.now();
-    let is_news = registration.evacuations.borrow_mut().take(now, told);
+    let is_news = registration.evacuations.borrow_mut().apply(now, told);
     if is_news {
         carry_out(node, registration, from);
     }
--- a/components/evacuation/src/duty.rs
+++ b/components/evacuation/src/duty.rs
@@ -7,7 +7,7 @@
 
 /// After the store came back from an older copy, operators write again what it lost. A hall that was evacuated before
 /// stays so for this time, in microseconds: otherwise its upstreams got work between the loss and the second writing.
-pub const REWRITTEN_US: u64 = 5 * SECOND;
+pub const RESTORE_GRACE_US: u64 = 5 * SECOND;
 
 /// The halls that are evacuated, as nodes tell one another.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
     }
 
     /// Whether a hall gets no new work now.
-    pub fn covers(&self, now: Moment, hall: &Name) -> bool {
+    pub fn is_evacuated(&self, now: Moment, hall: &Name) -> bool {
         let is_known = |known: &Evacuated| known.halls.contains(hall);
         let is_kept = self.kept.get(hall).is_some_and(|until| *until > now);
         is_kept || self.known.as_ref().is_some_and(is_known)
@@ -56,13 +56,13 @@
 
     /// Takes in all that the store held at `as_of`, as read here or told by another node. Returns whether other halls get
     /// no new work by that; what is older than what is known changes nothing.
-    pub fn take(&mut self, now: Moment, told: Evacuated) -> bool {
+    pub fn apply(&mut self, now: Moment, told: Evacuated) -> bool {
         let before = self.halls(now);
         match &self.known {
             Some(known) if !told.as_of.supersedes(&known.as_of) => return false,
             Some(known) if told.as_of.era != known.as_of.era => {
                 let lost = known.halls.difference(&told.halls).cloned();
-                let until = now + REWRITTEN_US;
+                let until = now + RESTORE_GRACE_US;
                 self.kept.extend(lost.map(|hall| (hall, until)));
             }
             _ => {}
@@ -76,7 +76,7 @@
 
     /// Takes in what has changed since the place up to which the store was read. Returns whether other halls get no new
     /// work by that.
-    pub fn change(
+    pub fn apply_changes(
         &mut self,
         now: Moment,
         as_of: Position,
@@ -90,7 +90,7 @@
             .unwrap_or_default();
         halls.extend(evacuated);
         halls.retain(|hall| !taken_back.contains(hall));
-        self.take(now, Evacuated { as_of, halls })
+        self.apply(now, Evacuated { as_of, halls })
     }
 
     /// Whether the other node knows another set of halls, and an older one.
--- a/components/evacuation/src/lib.rs
+++ b/components/evacuation/src/lib.rs
@@ -6,4 +6,4 @@
 
 mod duty;
 
-pub use duty::{Evacuated, Evacuations, REWRITTEN_US};
+pub use duty::{Evacuated, Evacuations, RESTORE_GRACE_US};
