--- a/components/home/src/request_limit.rs
+++ b/components/home/src/request_limit.rs
@@ -91,8 +91,8 @@
         let Some(limit) = self.in_force() else {
             return 0;
         };
-        let burst = limit.in_us(BURST_US).max(1);
-        let period_us = limit.time_of_us(burst).min(MAX_PERIOD_US);
+        let burst = limit.requests_in_us(BURST_US).max(1);
+        let period_us = limit.time_for_us(burst).min(MAX_PERIOD_US);
         let ahead = ahead as u64;
         // An attempt starts one period after the attempt that is one burst before it.
         let before = usize::try_from(burst - ahead % burst).unwrap_or(usize::MAX);
--- a/components/notices/src/rate.rs
+++ b/components/notices/src/rate.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whole requests that the rate makes in `us` microseconds.
-    pub fn in_us(self, us: u64) -> u64 {
+    pub fn requests_in_us(self, us: u64) -> u64 {
         let requests = u128::from(self.milli_per_s) * u128::from(us)
             / u128::from(MILLI_PER_UNIT)
             / MICROS_PER_SECOND;
@@ -54,7 +54,7 @@
     }
 
     /// Time in which the rate makes `count` requests, in microseconds, rounded up; the longest there is for a rate of 0.
-    pub fn time_of_us(self, count: u64) -> u64 {
+    pub fn time_for_us(self, count: u64) -> u64 {
         let micros = u128::from(count) * u128::from(MILLI_PER_UNIT) * MICROS_PER_SECOND;
         match u128::from(self.milli_per_s) {
             0 => u64::MAX,
--- a/components/notices/tests/read.rs
+++ b/components/notices/tests/read.rs
@@ -90,8 +90,8 @@
     #[test]
     fn the_time_of_a_count_is_the_shortest_in_which_the_rate_makes_it(milli in 1u64..10_000_000, count in 1u64..1_000) {
         let rate = RequestRate::from_milli(milli);
-        let us = rate.time_of_us(count);
-        prop_assert!(rate.in_us(us) >= count);
-        prop_assert!(rate.in_us(us - 1) < count);
+        let us = rate.time_for_us(count);
+        prop_assert!(rate.requests_in_us(us) >= count);
+        prop_assert!(rate.requests_in_us(us - 1) < count);
     }
 }
