--- a/components/daemon/src/callers/returned.rs
+++ b/components/daemon/src/callers/returned.rs
@@ -55,7 +55,7 @@
     };
     if matches!(outcome, RelayOutcome::NotRun(_)) {
         let mut returning = node.returning.borrow_mut();
-        returning.refused(node.now(), this.request, this.first, this.deadline);
+        returning.record_refusal(node.now(), this.request, this.first, this.deadline);
     }
 }
 
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -24,7 +24,7 @@
 use platform::{Adapter, Client};
 use quarantine::Fingerprint;
 use quota::{Bounds, Quotas};
-use returning::Returning;
+use returning::CallerRetries;
 use rollout::{Fetch, InForce, Rollout, Summary};
 use settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -141,7 +141,7 @@
     /// Shares and tokens of limited client accounts.
     pub quotas: Quotas,
     /// Requests that this node has refused and whose callers may come back.
-    pub returning: RefCell<Returning<Fingerprint>>,
+    pub returning: RefCell<CallerRetries<Fingerprint>>,
     /// Whether functions whose mode is `auto` are on.
     pub activation: Activation,
     /// Turns of the services among which routes are split.
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -20,7 +20,7 @@
 use names::{AttemptId, BootId, Moment, MILLISECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use returning::Returning;
+use returning::CallerRetries;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
@@ -97,7 +97,7 @@
     jobs: HashMap<AttemptId, Job>,
     upstream: Upstream,
     /// Callers that this node refused.
-    returning: Returning<Content>,
+    returning: CallerRetries<Content>,
 }
 
 /// Nodes, upstreams and callers on one clock.
@@ -303,7 +303,7 @@
         entry,
         home,
         jobs: HashMap::new(),
-        returning: Returning::default(),
+        returning: CallerRetries::default(),
         upstream: Upstream::new(spec.up_at, SmallRng::seed_from_u64(rng.random())),
     }
 }
--- a/components/model/src/world/caller_side.rs
+++ b/components/model/src/world/caller_side.rs
@@ -48,7 +48,7 @@
         let request = &self.requests[req];
         if let Some(tried) = request.tried {
             let returning = &mut self.nodes[request.vm].returning;
-            returning.refused(self.now, tried.request, tried.first, tried.deadline);
+            returning.record_refusal(self.now, tried.request, tried.first, tried.deadline);
         }
     }
 
--- a/components/returning/src/lib.rs
+++ b/components/returning/src/lib.rs
@@ -13,7 +13,7 @@
 /// milliseconds, and each try spends some on the way.
 pub const DEADLINE_TOLERANCE_US: u64 = 60 * MILLISECOND;
 /// Refused requests that are remembered at most. An entry takes about 70 bytes.
-pub const MOST_REMEMBERED: usize = 4_096;
+pub const MAX_REMEMBERED: usize = 4_096;
 
 /// A caller's request that was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 
 /// Requests that this node has refused and whose callers may come back. `K` identifies a request by its content.
 #[derive(Debug)]
-pub struct Returning<K> {
+pub struct CallerRetries<K> {
     /// Several callers may have sent equal requests.
     refused: HashMap<K, Vec<Refused>>,
     /// Refused requests in all.
@@ -42,9 +42,9 @@
     next_expiry: Moment,
 }
 
-impl<K> Default for Returning<K> {
-    fn default() -> Returning<K> {
-        Returning {
+impl<K> Default for CallerRetries<K> {
+    fn default() -> CallerRetries<K> {
+        CallerRetries {
             refused: HashMap::new(),
             remembered: 0,
             next_expiry: Moment(u64::MAX),
@@ -52,7 +52,7 @@
     }
 }
 
-impl<K: Hash + Eq> Returning<K> {
+impl<K: Hash + Eq> CallerRetries<K> {
     /// When the caller of this request first tried, if it was refused before. `deadline` is when the caller gives up.
     pub fn first_try(&self, now: Moment, request: &K, deadline: Moment) -> Option<Moment> {
         let refused = self.refused.get(request)?;
@@ -62,8 +62,8 @@
     }
 
     /// Takes in that a request was refused whose caller first tried at `first_try` and gives up at `deadline`. Beyond
-    /// [`MOST_REMEMBERED`] it is not remembered: its next try counts as a first one.
-    pub fn refused(&mut self, now: Moment, request: K, first_try: Moment, deadline: Moment) {
+    /// [`MAX_REMEMBERED`] it is not remembered: its next try counts as a first one.
+    pub fn record_refusal(&mut self, now: Moment, request: K, first_try: Moment, deadline: Moment) {
         self.expire(now);
         if deadline <= now {
             return;
@@ -74,7 +74,7 @@
             same.first_try = first_try;
             return;
         }
-        if self.remembered >= MOST_REMEMBERED {
+        if self.remembered >= MAX_REMEMBERED {
             return;
         }
         self.remembered += 1;
--- a/components/returning/tests/returning.rs
+++ b/components/returning/tests/returning.rs
@@ -2,7 +2,7 @@
 
 use names::{Moment, MILLISECOND};
 use proptest::prelude::*;
-use returning::{Returning, DEADLINE_TOLERANCE_US, MOST_REMEMBERED};
+use returning::{CallerRetries, DEADLINE_TOLERANCE_US, MAX_REMEMBERED};
 use std::collections::BTreeMap;
 
 fn at(ms: u64) -> Moment {
@@ -11,8 +11,8 @@
 
 #[test]
 fn a_second_try_is_known_by_its_request_and_its_deadline() {
-    let mut returning = Returning::default();
-    returning.refused(at(1_030), "GET /lobbies/7", at(1_000), at(1_760));
+    let mut returning = CallerRetries::default();
+    returning.record_refusal(at(1_030), "GET /lobbies/7", at(1_000), at(1_760));
     let first = returning.first_try(at(1_210), &"GET /lobbies/7", at(1_755));
     assert_eq!(first, Some(at(1_000)));
 }
@@ -20,16 +20,16 @@
 #[test]
 fn an_equal_request_of_another_caller_is_a_first_try() {
     // Guards against sending callers of a popular request behind all others.
-    let mut returning = Returning::default();
-    returning.refused(at(1_030), "GET /lobbies/7", at(1_000), at(1_760));
+    let mut returning = CallerRetries::default();
+    returning.record_refusal(at(1_030), "GET /lobbies/7", at(1_000), at(1_760));
     let other = returning.first_try(at(1_210), &"GET /lobbies/7", at(1_990));
     assert_eq!(other, None);
 }
 
 #[test]
 fn another_request_is_a_first_try() {
-    let mut returning = Returning::default();
-    returning.refused(at(1_030), "GET /lobbies/7", at(1_000), at(1_760));
+    let mut returning = CallerRetries::default();
+    returning.record_refusal(at(1_030), "GET /lobbies/7", at(1_000), at(1_760));
     let other = returning.first_try(at(1_210), &"GET /lobbies/8", at(1_760));
     assert_eq!(other, None);
 }
@@ -37,9 +37,9 @@
 #[test]
 fn callers_that_were_refused_the_same_request_are_told_apart() {
     // Guards against an entry that is overwritten by the next caller of a popular request.
-    let mut returning = Returning::default();
-    returning.refused(at(1_010), "GET /lobbies/7", at(1_000), at(1_800));
-    returning.refused(at(1_020), "GET /lobbies/7", at(1_010), at(2_000));
+    let mut returning = CallerRetries::default();
+    returning.record_refusal(at(1_010), "GET /lobbies/7", at(1_000), at(1_800));
+    returning.record_refusal(at(1_020), "GET /lobbies/7", at(1_010), at(2_000));
     let first = |deadline_ms| returning.first_try(at(1_200), &"GET /lobbies/7", at(deadline_ms));
     assert_eq!(first(1_800), Some(at(1_000)));
     assert_eq!(first(2_000), Some(at(1_010)));
@@ -47,12 +47,12 @@
 
 #[test]
 fn a_third_try_still_counts_from_the_first() {
-    let mut returning = Returning::default();
-    returning.refused(at(1_030), 7, at(1_000), at(3_000));
+    let mut returning = CallerRetries::default();
+    returning.record_refusal(at(1_030), 7, at(1_000), at(3_000));
     let first = returning
         .first_try(at(1_500), &7, at(3_000))
         .expect("known");
-    returning.refused(at(1_510), 7, first, at(3_000));
+    returning.record_refusal(at(1_510), 7, first, at(3_000));
     assert_eq!(
         returning.first_try(at(2_000), &7, at(3_000)),
         Some(at(1_000))
@@ -61,24 +61,24 @@
 
 #[test]
 fn requests_are_forgotten_when_their_callers_have_given_up() {
-    let mut returning = Returning::default();
+    let mut returning = CallerRetries::default();
     for n in 0..100 {
-        returning.refused(at(1_000), n, at(1_000), at(1_500 + n));
+        returning.record_refusal(at(1_000), n, at(1_000), at(1_500 + n));
     }
     assert_eq!(returning.first_try(at(1_600), &0, at(1_500)), None);
-    returning.refused(at(1_600), 1_000, at(1_600), at(9_000));
+    returning.record_refusal(at(1_600), 1_000, at(1_600), at(9_000));
     assert_eq!(returning.len(), 1);
 }
 
 #[test]
 fn the_table_is_bounded_whatever_is_refused() {
-    let mut returning = Returning::default();
-    for n in 0..3 * MOST_REMEMBERED as u64 {
-        returning.refused(at(1_000), n, at(1_000), at(60_000));
+    let mut returning = CallerRetries::default();
+    for n in 0..3 * MAX_REMEMBERED as u64 {
+        returning.record_refusal(at(1_000), n, at(1_000), at(60_000));
     }
-    assert_eq!(returning.len(), MOST_REMEMBERED);
+    assert_eq!(returning.len(), MAX_REMEMBERED);
     // What is remembered already can still be updated.
-    returning.refused(at(1_100), 5, at(900), at(60_000));
+    returning.record_refusal(at(1_100), 5, at(900), at(60_000));
     assert_eq!(
         returning.first_try(at(1_200), &5, at(60_000)),
         Some(at(900))
@@ -89,7 +89,7 @@
 /// callers come back 100 to 300 ms after their first try. All of these must be recognised, and none of the first tries.
 #[test]
 fn in_a_shortage_every_second_try_is_recognised_and_no_first_one() {
-    let mut returning = Returning::default();
+    let mut returning = CallerRetries::default();
     let mut come_back: BTreeMap<(u64, u64), (u64, u64)> = BTreeMap::new();
     let mut recognised = 0;
     for n in 0..600u64 {
@@ -103,7 +103,7 @@
         let deadline = now + 680 + n * 37 % 120;
         assert_eq!(returning.first_try(at(now), &n, at(deadline)), None);
         if n % 3 != 0 {
-            returning.refused(at(now + 20), n, at(now), at(deadline));
+            returning.record_refusal(at(now + 20), n, at(now), at(deadline));
             come_back.insert((now + 100 + n * 53 % 200, n), (now, deadline));
         }
     }
@@ -115,7 +115,7 @@
     fn no_try_is_moved_to_a_moment_after_it(
         tries in prop::collection::vec((0..4u8, 0..2_000u64, 1..1_000u64), 1..60)
     ) {
-        let mut returning = Returning::default();
+        let mut returning = CallerRetries::default();
         let mut now_ms = 0;
         for (request, wait_ms, left_ms) in tries {
             now_ms += wait_ms;
@@ -126,7 +126,7 @@
                 // The kept deadline had not passed, and was the caller's own.
                 prop_assert!(deadline.0 + DEADLINE_TOLERANCE_US > now_ms * MILLISECOND);
             }
-            returning.refused(at(now_ms), request, first.unwrap_or(at(now_ms)), deadline);
+            returning.record_refusal(at(now_ms), request, first.unwrap_or(at(now_ms)), deadline);
         }
     }
 }
