--- a/components/audit/src/containment.rs
+++ b/components/audit/src/containment.rs
@@ -3,7 +3,7 @@
 use crate::limit::{allowed, Kind};
 use errors::Error;
 use names::Name;
-use quarantine::{Fingerprint, Standing, Suspect};
+use quarantine::{Fingerprint, Suspect, Verdict};
 use registry::Incarnation;
 
 /// The upstream beside this node ended while it ran these requests: an exchange broke, and nothing stands at its
@@ -27,12 +27,12 @@
 }
 
 /// An upstream ended while it ran a request; `ends` are known now.
-pub fn suspected(suspect: &Suspect, standing: Standing, ends: usize) {
+pub fn suspected(suspect: &Suspect, standing: Verdict, ends: usize) {
     if allowed(Kind::Contained) {
         tracing::info!(
             fingerprint = %suspect.fingerprint,
-            end = %suspect.end,
-            alone = suspect.alone,
+            end = %suspect.termination,
+            alone = suspect.sole_suspect,
             ends,
             ?standing,
             "an upstream ended under a request"
@@ -41,7 +41,7 @@
 }
 
 /// Another node holds a request; `standing` is how this one treats it.
-pub fn held(fingerprint: Fingerprint, vm: &Name, standing: Standing) {
+pub fn held(fingerprint: Fingerprint, vm: &Name, standing: Verdict) {
     if allowed(Kind::Contained) {
         tracing::info!(%fingerprint, %vm, ?standing, "a request is held");
     }
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -22,7 +22,7 @@
 use keys::KEY_DEADLINE_US;
 use names::{Moment, Name, MILLISECOND};
 use policy::Input;
-use quarantine::Standing;
+use quarantine::Verdict;
 use quota::Token;
 use registry::LocalService;
 use rollout::InForce;
@@ -345,12 +345,12 @@
 /// held is refused at once.
 fn order_of(node: &Node, req: &Request) -> Result<Option<Vec<Name>>, Refusal> {
     match containment::standing(node, req) {
-        Standing::Free => Ok(None),
-        Standing::Suspect => {
+        Verdict::Free => Ok(None),
+        Verdict::Suspect => {
             let order = containment::order(node, &req.service, req.fingerprint());
             Ok(Some(order))
         }
-        Standing::Held => Err(containment::held()),
+        Verdict::Held => Err(containment::held()),
     }
 }
 
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -18,7 +18,7 @@
 use entry::Event;
 use home::{Offer, Reason, Refusal, Suspicion};
 use names::{AttemptId, Moment, Name};
-use quarantine::{Fingerprint, Quarantine, Standing, Suspect};
+use quarantine::{Fingerprint, Quarantine, Suspect, Verdict};
 use registry::Record;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -67,17 +67,21 @@
 }
 
 /// How a request is treated that a caller sends.
-pub fn standing(node: &Node, req: &Request) -> Standing {
+pub fn standing(node: &Node, req: &Request) -> Verdict {
     let known = node.containment.known.borrow();
     if known.is_empty() {
-        return Standing::Free;
+        return Verdict::Free;
     }
-    known.standing(node.now(), req.fingerprint())
+    known.verdict(node.now(), req.fingerprint())
 }
 
 /// Number of requests that are held.
 fn held_count(node: &Node) -> usize {
-    node.containment.known.borrow().held(node.now()).count()
+    node.containment
+        .known
+        .borrow()
+        .quarantined(node.now())
+        .count()
 }
 
 /// What a caller is told whose request is held.
@@ -94,7 +98,7 @@
         let fleet = registration.fleet.borrow();
         let halls = fleet.ready(service.as_str());
         let ready = halls.flat_map(|(_, vms)| vms.iter().cloned());
-        return quarantine::order(fingerprint, ready);
+        return quarantine::suspect_order(fingerprint, ready);
     }
     let Some(in_force) = node.in_force() else {
         return Vec::new();
@@ -103,14 +107,14 @@
         return Vec::new();
     };
     let candidates = node.candidates(&in_force, service).into_iter();
-    quarantine::order(fingerprint, candidates.map(|candidate| candidate.vm))
+    quarantine::suspect_order(fingerprint, candidates.map(|candidate| candidate.vm))
 }
 
 /// Why an offer is refused before the home duty sees it, for what is known of its request. The entry node may not
 /// have heard of it yet, nor this one.
 pub fn barred(node: &Node, offer: &Offer, req: &Request) -> Option<Refusal> {
     let standing = standing(node, req);
-    if standing == Standing::Held {
+    if standing == Verdict::Held {
         return Some(held());
     }
     if !is_suspect(node, offer, req) {
@@ -138,9 +142,9 @@
 pub fn is_suspect(node: &Node, offer: &Offer, req: &Request) -> bool {
     let runs_well = || {
         let known = node.containment.known.borrow();
-        known.runs_well(node.now(), req.fingerprint())
+        known.completed_recently(node.now(), req.fingerprint())
     };
-    standing(node, req) == Standing::Suspect || !offer.suspicion.is_none() && !runs_well()
+    standing(node, req) == Verdict::Suspect || !offer.suspicion.is_none() && !runs_well()
 }
 
 /// Takes in what another node saw at the end of its upstream, and passes it on where its hall can't.
@@ -159,11 +163,11 @@
         let fingerprint = suspect.fingerprint;
         let (news, standing, ends) = {
             let mut known = node.containment.known.borrow_mut();
-            let news = known.ended(now, *suspect);
+            let news = known.on_termination(now, *suspect);
             (
                 news,
-                known.standing(now, fingerprint),
-                known.ends(fingerprint),
+                known.verdict(now, fingerprint),
+                known.termination_count(fingerprint),
             )
         };
         if !news {
@@ -188,9 +192,9 @@
         .containment
         .known
         .borrow()
-        .standing(node.now(), suspect.fingerprint);
+        .verdict(node.now(), suspect.fingerprint);
     let order = match (standing, service) {
-        (Standing::Held, _) | (_, None) => Vec::new(),
+        (Verdict::Held, _) | (_, None) => Vec::new(),
         (_, Some(service)) => order(node, &service, suspect.fingerprint),
     };
     Event::UpstreamTerminated { id, order }
@@ -205,21 +209,21 @@
     {
         if !is_in_a_record(node, *fingerprint) {
             let mut known = node.containment.known.borrow_mut();
-            known.let_go(*fingerprint);
+            known.on_peer_release(*fingerprint);
         }
     }
     let now = node.now();
     for fingerprint in &record.quarantined {
         let (is_news, standing) = {
             let mut known = node.containment.known.borrow_mut();
-            let is_news = known.hold(now, *fingerprint);
-            (is_news, known.standing(now, *fingerprint))
+            let is_news = known.on_peer_quarantine(now, *fingerprint);
+            (is_news, known.verdict(now, *fingerprint))
         };
         if is_news {
             audit::held(*fingerprint, &record.vm, standing);
             apply(node, *fingerprint, standing);
         }
-        if is_news && standing == Standing::Free {
+        if is_news && standing == Verdict::Free {
             // It runs well, as this node has seen and the other one has not.
             clear(node, *fingerprint);
             tell(node, &told_clear(*fingerprint, true));
@@ -247,9 +251,9 @@
 /// Requests that are held, with the ends that this node knows of under each.
 pub fn held_requests(node: &Node) -> Vec<(Fingerprint, usize)> {
     let known = node.containment.known.borrow();
-    let held = known.held(node.now());
+    let held = known.quarantined(node.now());
     let mut held: Vec<(Fingerprint, usize)> = held
-        .map(|fingerprint| (fingerprint, known.ends(fingerprint)))
+        .map(|fingerprint| (fingerprint, known.termination_count(fingerprint)))
         .collect();
     held.sort_unstable();
     held
@@ -260,7 +264,11 @@
 pub fn ran(node: &Rc<Node>, req: &Request) {
     let fingerprint = req.fingerprint();
     let now = node.now();
-    let was_known = node.containment.known.borrow_mut().ran(now, fingerprint);
+    let was_known = node
+        .containment
+        .known
+        .borrow_mut()
+        .on_local_completion(now, fingerprint);
     if was_known {
         after_clearing(node, fingerprint);
         tell(node, &told_clear(fingerprint, true));
@@ -271,7 +279,7 @@
 pub fn answered(node: &Node, req: &Request) {
     let now = node.now();
     let mut known = node.containment.known.borrow_mut();
-    known.answered(now, req.fingerprint());
+    known.on_remote_completion(now, req.fingerprint());
 }
 
 /// Takes in that a request has run to a good end elsewhere (`ran`), or that an operator frees it.
@@ -279,7 +287,7 @@
     if ran {
         let now = node.now();
         let mut known = node.containment.known.borrow_mut();
-        known.answered(now, fingerprint);
+        known.on_remote_completion(now, fingerprint);
     }
     if clear(node, fingerprint) && is_passed_on(node, from) {
         links::tell_hall_surely(node, &told_clear(fingerprint, ran));
@@ -314,7 +322,7 @@
     loop {
         task::sleep(FORGET_EVERY).await;
         let now = node.now();
-        node.containment.known.borrow_mut().tick(now);
+        node.containment.known.borrow_mut().expire(now);
         stats::held(held_count(&node));
         publish(&node);
     }
@@ -322,7 +330,7 @@
 
 /// Brings what waits or runs beside this node in line with what is known of a request: what is held does not
 /// start, and what may be repeated is cut off before it ends this upstream too.
-fn apply(node: &Rc<Node>, fingerprint: Fingerprint, standing: Standing) {
+fn apply(node: &Rc<Node>, fingerprint: Fingerprint, standing: Verdict) {
     let mut copies = Vec::new();
     for (id, job) in node.jobs.borrow_mut().iter_mut() {
         if job.ended.is_none() && job.req.fingerprint() == fingerprint {
@@ -330,7 +338,7 @@
             copies.push(*id);
         }
     }
-    if standing != Standing::Held {
+    if standing != Verdict::Held {
         return;
     }
     stats::held(held_count(node));
@@ -350,11 +358,11 @@
         let known = node.containment.known.borrow();
         let now = node.now();
         let mut after: Vec<Fingerprint> = before.clone();
-        after.retain(|fingerprint| known.standing(now, *fingerprint) == Standing::Held);
+        after.retain(|fingerprint| known.verdict(now, *fingerprint) == Verdict::Held);
         let seen = known
-            .held(now)
-            .filter(|fingerprint| known.was_seen_by(node.boot, *fingerprint))
-            .filter(|fingerprint| known.standing(now, *fingerprint) == Standing::Held);
+            .quarantined(now)
+            .filter(|fingerprint| known.was_observed_by(node.boot, *fingerprint))
+            .filter(|fingerprint| known.verdict(now, *fingerprint) == Verdict::Held);
         let mut new: Vec<Fingerprint> = seen
             .filter(|fingerprint| !after.contains(fingerprint))
             .collect();
--- a/components/daemon/src/containment/ends.rs
+++ b/components/daemon/src/containment/ends.rs
@@ -91,8 +91,10 @@
         let may_be_others = is_young || !given_up.is_empty();
         let suspect = Suspect {
             fingerprint,
-            end,
-            alone: is_only_one && !may_be_others && !known.runs_well(at, fingerprint),
+            termination: end,
+            sole_suspect: is_only_one
+                && !may_be_others
+                && !known.completed_recently(at, fingerprint),
         };
         job.ended = Some(suspect);
         found.push((job.req.id.clone(), suspect));
@@ -103,8 +105,8 @@
     found.extend(given_up.into_iter().map(|(id, fingerprint)| {
         let suspect = Suspect {
             fingerprint,
-            end,
-            alone: false,
+            termination: end,
+            sole_suspect: false,
         };
         (id, suspect)
     }));
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -13,7 +13,7 @@
 use home::{Load, Offer, Suspicion};
 use keys::KeyHash;
 use names::{AttemptId, Moment, Name};
-use quarantine::Standing;
+use quarantine::Verdict;
 use std::future::Future;
 use std::pin::{pin, Pin};
 use std::rc::Rc;
@@ -156,7 +156,7 @@
         let now = self.node.now();
         let is_straggler = matches!(event, Event::Straggles(_));
         // An upstream may have ended under a copy since the call began.
-        if is_straggler && containment::standing(self.node, &self.req) != Standing::Free {
+        if is_straggler && containment::standing(self.node, &self.req) != Verdict::Free {
             self.call.forbid_hedge();
         }
         let actions = {
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -34,15 +34,15 @@
     pub fingerprint: Fingerprint,
     /// The end: boot and counter of the node that saw it.
     #[serde(rename = "e")]
-    pub end: AttemptId,
+    pub termination: AttemptId,
     /// Whether it was the only request there that may have ended it, by all that the node beside it knows.
     #[serde(rename = "a")]
-    pub alone: bool,
+    pub sole_suspect: bool,
 }
 
 /// How a request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Verdict {
     /// Nothing is known against it.
     Free,
     /// It may run apart from other suspects.
@@ -112,45 +112,52 @@
     }
 
     /// How a request is treated.
-    pub fn standing(&self, now: Moment, fingerprint: Fingerprint) -> Standing {
+    pub fn verdict(&self, now: Moment, fingerprint: Fingerprint) -> Verdict {
         match self.known.get(&fingerprint) {
-            None => Standing::Free,
-            Some(_) if self.runs_well(now, fingerprint) => Standing::Free,
-            Some(entry) if entry.is_held(self.most_ends(now)) => Standing::Held,
-            Some(_) => Standing::Suspect,
+            None => Verdict::Free,
+            Some(_) if self.completed_recently(now, fingerprint) => Verdict::Free,
+            Some(entry) if entry.is_held(self.most_ends(now)) => Verdict::Held,
+            Some(_) => Verdict::Suspect,
         }
     }
 
     /// Whether a request has run to a good end lately, as far as this node has seen.
-    pub fn runs_well(&self, now: Moment, fingerprint: Fingerprint) -> bool {
+    pub fn completed_recently(&self, now: Moment, fingerprint: Fingerprint) -> bool {
         self.recent.has(now, fingerprint)
     }
 
     /// Takes in that a request ran to a good end elsewhere.
-    pub fn answered(&mut self, now: Moment, fingerprint: Fingerprint) {
+    pub fn on_remote_completion(&mut self, now: Moment, fingerprint: Fingerprint) {
         self.recent.ran(now, fingerprint);
     }
 
     /// Takes in that an upstream ended under a request. Returns whether that is news: each end counts once,
     /// whoever tells it and however often.
-    pub fn ended(&mut self, now: Moment, suspect: Suspect) -> bool {
-        if self.settled.contains(&(suspect.fingerprint, suspect.end)) {
+    pub fn on_termination(&mut self, now: Moment, suspect: Suspect) -> bool {
+        if self
+            .settled
+            .contains(&(suspect.fingerprint, suspect.termination))
+        {
             return false;
         }
         let entry = self.entry(now, suspect.fingerprint);
-        if entry.ends.iter().any(|(end, _)| *end == suspect.end) {
+        if entry
+            .ends
+            .iter()
+            .any(|(end, _)| *end == suspect.termination)
+        {
             return false;
         }
         if entry.ends.len() >= MOST_ENDS_EARLY {
             return false;
         }
         entry.at = now;
-        entry.ends.push((suspect.end, suspect.alone));
+        entry.ends.push((suspect.termination, suspect.sole_suspect));
         true
     }
 
     /// Takes in that another node holds a request. Returns whether this one did not.
-    pub fn hold(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
+    pub fn on_peer_quarantine(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
         let most_ends = self.most_ends(now);
         let entry = self.entry(now, fingerprint);
         let is_news = !entry.is_held(most_ends);
@@ -160,7 +167,7 @@
     }
 
     /// Takes in that no other node holds a request any more. What is known of ends under it stays.
-    pub fn let_go(&mut self, fingerprint: Fingerprint) {
+    pub fn on_peer_release(&mut self, fingerprint: Fingerprint) {
         let Some(entry) = self.known.get_mut(&fingerprint) else {
             return;
         };
@@ -172,7 +179,7 @@
 
     /// Takes in that a request has run to its end beside this node, and the upstream went on. Returns whether
     /// anything was known against it.
-    pub fn ran(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
+    pub fn on_local_completion(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
         self.recent.ran(now, fingerprint);
         self.clear(fingerprint)
     }
@@ -189,20 +196,20 @@
     }
 
     /// Whether the node with this boot saw one of the ends under a request.
-    pub fn was_seen_by(&self, boot: BootId, fingerprint: Fingerprint) -> bool {
+    pub fn was_observed_by(&self, boot: BootId, fingerprint: Fingerprint) -> bool {
         let entry = self.known.get(&fingerprint);
         entry.is_some_and(|entry| entry.ends.iter().any(|(end, _)| end.boot == boot))
     }
 
     /// Ends known under a request.
-    pub fn ends(&self, fingerprint: Fingerprint) -> usize {
+    pub fn termination_count(&self, fingerprint: Fingerprint) -> usize {
         self.known
             .get(&fingerprint)
             .map_or(0, |entry| entry.ends.len())
     }
 
     /// Requests that are held.
-    pub fn held(&self, now: Moment) -> impl Iterator<Item = Fingerprint> + '_ {
+    pub fn quarantined(&self, now: Moment) -> impl Iterator<Item = Fingerprint> + '_ {
         let most_ends = self.most_ends(now);
         let held = self.known.iter();
         let held = held.filter(move |(_, entry)| entry.is_held(most_ends));
@@ -210,7 +217,7 @@
     }
 
     /// Forgets what is old.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Moment) {
         self.known
             .retain(|_, entry| now.since(entry.at) <= entry.kept_us());
     }
