--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -13,7 +13,7 @@
 use names::Name;
 use rand::seq::IndexedRandom;
 use rand::Rng;
-use rollout::{Advice, Offered, Standing, Summary, Unchecked};
+use rollout::{Advice, LocalState, Offered, Summary, Unchecked};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -82,7 +82,7 @@
     match &offered {
         Offered::Taken => {
             if let Some(after) = node.in_force() {
-                node.fetch.borrow_mut().came();
+                node.fetch.borrow_mut().on_applied();
                 node.first_declarations.wake();
                 let age_us = node.watch.borrow().age_us(node.now());
                 audit::in_force(before.as_deref(), &after, age_us);
@@ -104,7 +104,7 @@
     if !node.view.borrow_mut().update(list) {
         return;
     }
-    node.fetch.borrow_mut().came();
+    node.fetch.borrow_mut().on_applied();
     tracing::info!(version, "a list of VMs was taken in");
     node.refresh_budget();
     home_driver::leaving_changed(node);
@@ -149,18 +149,18 @@
     if is_checked || !theirs.is_newer_than(&known) {
         return;
     }
-    let standing = Standing {
+    let standing = LocalState {
         revision: mine.revision,
-        store_asked: node.watch.borrow().is_watching(),
+        awaits_store: node.watch.borrow().is_watching(),
         // A store that has not answered the first read is not asked beside it.
-        can_read: node.registration.is_some() && !watching::is_first_read(node),
+        can_read_store: node.registration.is_some() && !watching::is_first_read(node),
     };
     let now = node.now();
     let told = node
         .fetch
         .borrow_mut()
-        .told(now, from, standing, theirs.bytes_for(&mine));
-    let missed = node.fetch.borrow().missed();
+        .on_newer(now, from, standing, theirs.bytes_for(&mine));
+    let missed = node.fetch.borrow().failures();
     audit::newer_there(from, &mine, theirs, told, missed);
     match told {
         Advice::Ask => reply.send(node, Frame::Want(known)),
--- a/components/daemon/src/links/accept.rs
+++ b/components/daemon/src/links/accept.rs
@@ -67,7 +67,7 @@
     node.incoming.borrow_mut().insert(serial, reply.clone());
     let error = read(node, &vm, &mut stream, &reply).await;
     tx.close();
-    node.fetch.borrow_mut().lost(&vm);
+    node.fetch.borrow_mut().on_connection_lost(&vm);
     tracing::debug!(peer = %vm, %error, "a peer's connection ended");
 }
 
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -381,7 +381,7 @@
 
 /// The connection to `vm` broke: whoever has something there is told.
 fn lost(node: &Rc<Node>, vm: &Name) {
-    node.fetch.borrow_mut().lost(vm);
+    node.fetch.borrow_mut().on_connection_lost(vm);
     let lost: Vec<AttemptId> = node
         .waiters
         .borrow()
--- a/components/rollout/src/fetch.rs
+++ b/components/rollout/src/fetch.rs
@@ -5,18 +5,18 @@
 /// A node that asks the store itself leaves it so long to answer, in microseconds, where the revision is small: a sixth of the shortest time
 /// within which users' changes have to be in force (2 s). Its watch brings a small revision within milliseconds
 /// of the first word of it, or its connection has fallen silent.
-pub const SMALL_HOLD_US: u64 = 333 * MILLISECOND;
+pub const SMALL_STORE_WAIT_US: u64 = 333 * MILLISECOND;
 /// The same for a large revision: on a link of 10 Mbit/s the store's answer of 0.74 MB takes 0.6 s, and a second
 /// copy beside it would double that.
-pub const HOLD_US: u64 = 1_000 * MILLISECOND;
+pub const STORE_WAIT_US: u64 = 1_000 * MILLISECOND;
 /// A small copy that was asked for is waited for so long, in microseconds, before another node is asked: a sixth
 /// of the same time. 32 KB take 26 ms on a link of 10 Mbit/s.
-pub const SMALL_PATIENCE_US: u64 = 333 * MILLISECOND;
+pub const SMALL_FETCH_TIMEOUT_US: u64 = 333 * MILLISECOND;
 /// After so many small copies that did not come the store is asked: two thirds of the time are left then.
 const SMALL_COPIES: u32 = 2;
 /// The same for a large copy: 2.5 MB on a link of 10 Mbit/s. It doubles with each copy that does not come, so
 /// that the larger ones come as well.
-pub const PATIENCE_US: u64 = 2_000 * MILLISECOND;
+pub const FETCH_TIMEOUT_US: u64 = 2_000 * MILLISECOND;
 /// A revision larger than this is read from the store rather than copied from another node, in bytes. Two
 /// watchers give 30 copies of this size each to a hall of 60 nodes within 0.4 s over links of 20 Mbit/s; each
 /// copy of 0.6 MB would take 0.24 s of one watcher's link, and there would be 30 of them.
@@ -26,21 +26,21 @@
 
 /// How this node stands while another one knows something newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct LocalState {
     /// Revision in force here; 0 for none.
     pub revision: u64,
     /// Whether it waits for the store's own answer.
-    pub store_asked: bool,
+    pub awaits_store: bool,
     /// Whether one call to the store brings a whole revision.
-    pub can_read: bool,
+    pub can_read_store: bool,
 }
 
-impl Standing {
+impl LocalState {
     /// Whether the store is given time. A node without a revision serves nobody and asks at once: when half
     /// of 13 nodes restart while the store is silent, waiting would cost 0.05 of the worth of all requests
     /// (mean of three seeds).
     fn waits_for_store(self) -> bool {
-        self.store_asked && self.revision > 0
+        self.awaits_store && self.revision > 0
     }
 }
 
@@ -79,7 +79,13 @@
 
 impl Fetch {
     /// `peer` knows something newer, of `bytes`, than this node, which stands like this.
-    pub fn told(&mut self, now: Moment, peer: &Name, standing: Standing, bytes: u64) -> Advice {
+    pub fn on_newer(
+        &mut self,
+        now: Moment,
+        peer: &Name,
+        standing: LocalState,
+        bytes: u64,
+    ) -> Advice {
         if let Some(asked) = &self.asked {
             if now < asked.until {
                 return Advice::Wait;
@@ -91,9 +97,9 @@
             match self.hold {
                 None => {
                     let hold_us = if bytes > LARGE_BYTES {
-                        HOLD_US
+                        STORE_WAIT_US
                     } else {
-                        SMALL_HOLD_US
+                        SMALL_STORE_WAIT_US
                     };
                     let hold = now + hold_us;
                     self.hold = Some(hold);
@@ -105,11 +111,11 @@
         }
         let is_large = bytes > LARGE_BYTES;
         let needs_store = is_large || self.failures >= SMALL_COPIES;
-        let reads = standing.can_read && needs_store && !self.store_failed;
+        let reads = standing.can_read_store && needs_store && !self.store_failed;
         let patience_us = if is_large || reads {
-            PATIENCE_US << self.failures.min(MOST_DOUBLINGS)
+            FETCH_TIMEOUT_US << self.failures.min(MOST_DOUBLINGS)
         } else {
-            SMALL_PATIENCE_US
+            SMALL_FETCH_TIMEOUT_US
         };
         self.asked = Some(Asked {
             peer: (!reads).then(|| peer.clone()),
@@ -135,17 +141,17 @@
     }
 
     /// Copies that were asked for in vain since something newer was in force.
-    pub fn missed(&self) -> u32 {
+    pub fn failures(&self) -> u32 {
         self.failures
     }
 
     /// Something newer is in force: what was asked for is here, or is not needed any more.
-    pub fn came(&mut self) {
+    pub fn on_applied(&mut self) {
         *self = Fetch::default();
     }
 
     /// A connection to `peer` ended, and with it the copy that was asked for there.
-    pub fn lost(&mut self, peer: &Name) {
+    pub fn on_connection_lost(&mut self, peer: &Name) {
         if self
             .asked
             .as_ref()
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -16,7 +16,8 @@
 pub use apply::{Apply, ApplyAction, ApplyEvent, ApplyOutcome, Plan};
 pub use diff::diff;
 pub use fetch::{
-    Advice, Fetch, Standing, HOLD_US, LARGE_BYTES, PATIENCE_US, SMALL_HOLD_US, SMALL_PATIENCE_US,
+    Advice, Fetch, LocalState, FETCH_TIMEOUT_US, LARGE_BYTES, SMALL_FETCH_TIMEOUT_US,
+    SMALL_STORE_WAIT_US, STORE_WAIT_US,
 };
 pub use head::{
     content_key, digest, split, split_sections, Change, Digest, FileRef, Head, HEAD_KEY, PART_BYTES,
