--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -13,7 +13,7 @@
 use names::Name;
 use rand::seq::IndexedRandom;
 use rand::Rng;
-use rollout::{Advice, LocalState, Offered, Summary, Unchecked};
+use rollout::{Advice, LocalState, Offered, Summary, UncheckedRevision};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +36,11 @@
 ///
 /// The check goes on when the caller is given up meanwhile: a revision whose check was dropped half-way would
 /// count as being checked for ever, and be taken from nobody.
-pub async fn take_in(node: &Rc<Node>, unchecked: impl Into<Unchecked>, origin: Origin) -> Offered {
+pub async fn take_in(
+    node: &Rc<Node>,
+    unchecked: impl Into<UncheckedRevision>,
+    origin: Origin,
+) -> Offered {
     let unchecked = unchecked.into();
     if node.in_force().is_none() {
         // Not queued behind the work of others, and carried through without a pause, so that it is never given up.
@@ -51,11 +55,11 @@
     rx.recv().await.unwrap_or(Offered::UnderWay)
 }
 
-async fn check_and_take(node: &Rc<Node>, unchecked: Unchecked, origin: Origin) -> Offered {
+async fn check_and_take(node: &Rc<Node>, unchecked: UncheckedRevision, origin: Origin) -> Offered {
     let revision = unchecked.configuration().head.revision;
     let bytes = unchecked.configuration().size();
     let began = node.now();
-    let begun = node.rollout.borrow_mut().begin(unchecked);
+    let begun = node.rollout.borrow_mut().begin_check(unchecked);
     let (before, offered) = match begun {
         Ok(mut checking) => {
             let checked = loop {
@@ -71,7 +75,7 @@
                 }
             };
             let before = node.in_force();
-            let offered = node.rollout.borrow_mut().end(checking, checked);
+            let offered = node.rollout.borrow_mut().end_check(checking, checked);
             (before, offered)
         }
         Err(offered) => (None, offered),
@@ -117,8 +121,8 @@
     store::heard(node, from, theirs);
     let has_newer_evacuations = watching::evacuations_heard(node, from, theirs.evacuated.as_ref());
     let mine = node.summary();
-    if theirs.is_level_with(&mine) {
-        node.rollout.borrow_mut().read_again(theirs.read);
+    if theirs.is_in_sync_with(&mine) {
+        node.rollout.borrow_mut().advance_read_at(theirs.read_at);
         watching::confirmed_by(node, from, theirs);
     }
     if theirs.is_newer_than(&mine) {
@@ -140,7 +144,7 @@
         return;
     }
     let mine = node.summary();
-    let newest = node.rollout.borrow().newest();
+    let newest = node.rollout.borrow().newest_revision();
     let known = Summary {
         revision: newest,
         ..mine.clone()
@@ -202,7 +206,7 @@
 pub fn wanted(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
     let mine = node.summary();
     if mine.has_newer_content_than(theirs) {
-        let lacking = node.rollout.borrow().lacking(theirs.content);
+        let lacking = node.rollout.borrow().delta_for(theirs.content_id);
         if let Some(configuration) = lacking.map(Arc::new) {
             audit::declarations_sent(from, theirs.revision, mine.revision, configuration.size());
             reply.send(node, Frame::Configuration(configuration));
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -323,8 +323,8 @@
             list_version: self.view.borrow().list().version,
             confirmed_us_ago: self.watch.borrow().age_us(self.now()),
             era: store::known(self),
-            content: rollout.content(),
-            read: rollout.read(),
+            content_id: rollout.content_id(),
+            read_at: rollout.read_at(),
             evacuated: self.evacuated(),
         }
     }
--- a/components/daemon/src/watching/freshness.rs
+++ b/components/daemon/src/watching/freshness.rs
@@ -13,7 +13,7 @@
 /// The platform held nothing newer at `as_of`, as it said itself. Returns whether that holds for what is in force
 /// here: not while something newer is still being checked.
 pub fn confirmed(node: &Node, as_of: Moment) -> bool {
-    if node.rollout.borrow().newest() > node.rollout.borrow().revision() {
+    if node.rollout.borrow().newest_revision() > node.rollout.borrow().revision() {
         return false;
     }
     node.watch.borrow_mut().confirmed(as_of);
--- a/components/daemon/src/watching/listed.rs
+++ b/components/daemon/src/watching/listed.rs
@@ -73,7 +73,10 @@
 async fn take_head(node: &Rc<Node>, object: Object) -> Result<()> {
     let head = Head::from_bytes(&object.value)
         .map_err(|error| Error::new(Step::Platform, HEAD_KEY, error))?;
-    let wanted = node.rollout.borrow_mut().wants(&head, Position::default());
+    let wanted = node
+        .rollout
+        .borrow_mut()
+        .precheck(&head, Position::default());
     if wanted.is_ok() {
         let objects = fetch(node, &head).await?;
         configuration::take_in(
@@ -81,7 +84,7 @@
             Configuration {
                 head,
                 objects,
-                read: Position::default(),
+                read_at: Position::default(),
             },
             Origin::Store,
         )
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -140,7 +140,7 @@
     let rollout = node.rollout.borrow();
     registration.taking_in.get() > 0
         || registration.adapter.store().receives(kind)
-        || rollout.newest() > rollout.revision()
+        || rollout.newest_revision() > rollout.revision()
 }
 
 /// Whether something newer is on its way from the platform or being checked. To ask beside it would bring the same
@@ -149,7 +149,7 @@
     let registration = node.registration.as_ref();
     let is_taken_in = registration.is_some_and(|registration| registration.taking_in.get() > 0);
     let rollout = node.rollout.borrow();
-    is_taken_in || receiving(node) > 0 || rollout.newest() > rollout.revision()
+    is_taken_in || receiving(node) > 0 || rollout.newest_revision() > rollout.revision()
 }
 
 /// Answers of the platform of which a part has come.
@@ -289,7 +289,7 @@
             // The open watch has begun to answer: it is not silent.
             continue;
         };
-        if !node.summary().is_level_with(&before) {
+        if !node.summary().is_in_sync_with(&before) {
             tracing::info!("an open watch did not tell of a change and is begun anew");
             return Ok(());
         }
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -13,7 +13,7 @@
 use era::{Era, Position};
 use errors::{contained, Error, Result, Step};
 use platform::{Reading, Stored, Watched};
-use rollout::{Change, Unchecked};
+use rollout::{Change, UncheckedRevision};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -64,9 +64,9 @@
 /// Reads the declarations for this node alone, because copies between nodes would take longer. A node that has none
 /// yet takes an answer that may lag, which costs a tenth; what it misses it is told by others.
 pub async fn read_anew(node: &Rc<Node>) -> Result<()> {
-    if node.rollout.borrow().newest() == 0 {
+    if node.rollout.borrow().newest_revision() == 0 {
         list(node, Reading::MayLag).await?;
-        if node.rollout.borrow().newest() > 0 {
+        if node.rollout.borrow().newest_revision() > 0 {
             return Ok(());
         }
     }
@@ -130,9 +130,10 @@
             task::sleep(BREATH).await;
         }
         let change = change(&written);
-        let unchecked = Unchecked::make(written.version, change, written.bundle, read);
+        let unchecked =
+            UncheckedRevision::from_bundle(written.version, change, written.bundle, read);
         let head = &unchecked.configuration().head;
-        let wanted = node.rollout.borrow_mut().wants(head, read);
+        let wanted = node.rollout.borrow_mut().precheck(head, read);
         if wanted.is_ok() {
             configuration::take_in(node, unchecked, Origin::Store).await;
         }
--- a/components/operator/src/read.rs
+++ b/components/operator/src/read.rs
@@ -27,7 +27,7 @@
     Ok(Configuration {
         head,
         objects,
-        read: Position::default(),
+        read_at: Position::default(),
     })
 }
 
--- a/components/rollout/src/head.rs
+++ b/components/rollout/src/head.rs
@@ -9,7 +9,7 @@
 /// Key of the head object in the platform's object API.
 pub const HEAD_KEY: &str = "drumwheel/head";
 /// Largest content object, in bytes; a longer file is split.
-pub const PART_BYTES: usize = 512 * 1024;
+pub const MAX_OBJECT_BYTES: usize = 512 * 1024;
 
 /// SHA-256 of some content, in lower-case hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
     let mut objects = BTreeMap::new();
     for (path, text) in &bundle.files {
         let mut parts = Vec::new();
-        for part in text.as_bytes().chunks(PART_BYTES) {
+        for part in text.as_bytes().chunks(MAX_OBJECT_BYTES) {
             let digest = digest(part);
             objects.insert(digest.clone(), ByteBuf::from(part));
             parts.push(digest);
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -20,7 +20,8 @@
     SMALL_STORE_WAIT_US, STORE_WAIT_US,
 };
 pub use head::{
-    content_key, digest, split, split_sections, Change, Digest, FileRef, Head, HEAD_KEY, PART_BYTES,
+    content_key, digest, split, split_sections, Change, Digest, FileRef, Head, HEAD_KEY,
+    MAX_OBJECT_BYTES,
 };
-pub use made::Unchecked;
-pub use node::{Checking, Configuration, InForce, Offered, Rollout, RolloutCounters, Summary};
+pub use made::UncheckedRevision;
+pub use node::{Configuration, InForce, Offered, RevisionCheck, Rollout, RolloutCounters, Summary};
--- a/components/rollout/src/made.rs
+++ b/components/rollout/src/made.rs
@@ -7,15 +7,20 @@
 
 /// A revision that was not checked yet.
 #[derive(Debug)]
-pub struct Unchecked {
+pub struct UncheckedRevision {
     pub(crate) configuration: Configuration,
     /// The files, where this node made the content objects of them: those need not be digested again and put together.
     pub(crate) bundle: Option<Bundle>,
 }
 
-impl Unchecked {
+impl UncheckedRevision {
     /// The revision that this node makes of files which it read at `read`. Every node makes the same of the same.
-    pub fn make(revision: u64, change: Change, bundle: Bundle, read: Position) -> Unchecked {
+    pub fn from_bundle(
+        revision: u64,
+        change: Change,
+        bundle: Bundle,
+        read_at: Position,
+    ) -> UncheckedRevision {
         let (files, objects) = split_sections(&bundle);
         let head = Head {
             revision,
@@ -26,9 +31,9 @@
         let configuration = Configuration {
             head,
             objects,
-            read,
+            read_at,
         };
-        Unchecked {
+        UncheckedRevision {
             configuration,
             bundle: Some(bundle),
         }
@@ -40,9 +45,9 @@
     }
 }
 
-impl From<Configuration> for Unchecked {
-    fn from(configuration: Configuration) -> Unchecked {
-        Unchecked {
+impl From<Configuration> for UncheckedRevision {
+    fn from(configuration: Configuration) -> UncheckedRevision {
+        UncheckedRevision {
             configuration,
             bundle: None,
         }
--- a/components/rollout/src/node.rs
+++ b/components/rollout/src/node.rs
@@ -1,7 +1,7 @@
 //! A node's side: taking in revisions.
 
 use crate::head::{join, Digest, Head};
-use crate::made::Unchecked;
+use crate::made::UncheckedRevision;
 use crate::recent::Recent;
 use declarations::{Bundle, CheckSteps, Declarations};
 use era::{Era, Position};
@@ -35,10 +35,10 @@
     pub era: Option<Era>,
     /// Tells contents of one revision apart; 0 for none.
     #[serde(rename = "c", default)]
-    pub content: u64,
+    pub content_id: u64,
     /// Where the content was last read in the store.
     #[serde(rename = "w", default, skip_serializing_if = "Position::is_none")]
-    pub read: Position,
+    pub read_at: Position,
     /// Halls that are evacuated; none when nothing is known of that.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub evacuated: Option<Evacuated>,
@@ -46,9 +46,9 @@
 
 impl Summary {
     /// Whether the same is known here as there.
-    pub fn is_level_with(&self, other: &Summary) -> bool {
+    pub fn is_in_sync_with(&self, other: &Summary) -> bool {
         let same_list = self.list_version == other.list_version;
-        self.has_content_of(other) && same_list && self.halls() == other.halls()
+        self.has_same_content_as(other) && same_list && self.halls() == other.halls()
     }
 
     fn halls(&self) -> Option<&BTreeSet<Name>> {
@@ -76,11 +76,11 @@
         if self.revision != other.revision {
             return self.revision > other.revision;
         }
-        self.content != other.content && self.read.supersedes(&other.read)
+        self.content_id != other.content_id && self.read_at.supersedes(&other.read_at)
     }
 
-    fn has_content_of(&self, other: &Summary) -> bool {
-        self.revision == other.revision && self.content == other.content
+    fn has_same_content_as(&self, other: &Summary) -> bool {
+        self.revision == other.revision && self.content_id == other.content_id
     }
 }
 
@@ -92,8 +92,8 @@
     /// The content objects that it names.
     pub objects: BTreeMap<Digest, ByteBuf>,
     /// Where it was read in the platform's store.
-    #[serde(default, skip_serializing_if = "Position::is_none")]
-    pub read: Position,
+    #[serde(rename = "read", default, skip_serializing_if = "Position::is_none")]
+    pub read_at: Position,
 }
 
 impl Configuration {
@@ -157,13 +157,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RolloutCounters {
     /// Revisions taken.
-    pub taken: u64,
+    pub applied: u64,
     /// Offers of a lower revision.
     pub older: u64,
     /// Offers of the same number with other content.
     pub differs: u64,
     /// Offers that did not pass the check.
-    pub bad: u64,
+    pub invalid: u64,
 }
 
 /// The revision a node has in force.
@@ -171,12 +171,12 @@
 pub struct Rollout {
     in_force: Option<Arc<InForce>>,
     /// Tells the content in force from others of its revision; 0 for none.
-    content: u64,
+    content_id: u64,
     /// Bytes of the content in force that the revision before it lacked.
     change_bytes: u64,
     recent: Recent,
     /// Where the content in force was last read.
-    read: Position,
+    read_at: Position,
     /// Revision that is being checked, and where it was read; the newest if there are several.
     checking: Option<(u64, Position)>,
     counters: RolloutCounters,
@@ -184,15 +184,15 @@
 
 /// A revision that is being checked, in steps.
 #[derive(Debug)]
-pub struct Checking {
+pub struct RevisionCheck {
     configuration: Configuration,
     steps: CheckSteps,
     digested: usize,
 }
 
-impl Checking {
+impl RevisionCheck {
     /// Bytes of content whose digests were compared with their names.
-    pub fn digested(&self) -> usize {
+    pub fn digested_bytes(&self) -> usize {
         self.digested
     }
 
@@ -230,32 +230,32 @@
 
     /// What is in force, without what a node has that holds `content`; the whole for any node of which that is not
     /// known.
-    pub fn lacking(&self, content: u64) -> Option<Configuration> {
+    pub fn delta_for(&self, content_id: u64) -> Option<Configuration> {
         let configuration = &self.in_force.as_ref()?.configuration;
-        let lacking = self.recent.lacking(content, configuration);
+        let lacking = self.recent.delta_for(content_id, configuration);
         Some(lacking.unwrap_or_else(|| configuration.clone()))
     }
 
     /// Highest revision in force or being checked: what this node need not be sent.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_revision(&self) -> u64 {
         let checking = self.checking.map_or(0, |(revision, _)| revision);
         self.revision().max(checking)
     }
 
     /// Tells the content in force from others of its revision; 0 for none.
-    pub fn content(&self) -> u64 {
-        self.content
+    pub fn content_id(&self) -> u64 {
+        self.content_id
     }
 
     /// Where the content in force was last read.
-    pub fn read(&self) -> Position {
-        self.read
+    pub fn read_at(&self) -> Position {
+        self.read_at
     }
 
     /// The content in force was read at `at` as well, here or by another node.
-    pub fn read_again(&mut self, at: Position) {
-        if at.supersedes(&self.read) {
-            self.read = at;
+    pub fn advance_read_at(&mut self, at: Position) {
+        if at.supersedes(&self.read_at) {
+            self.read_at = at;
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Whether a head that was read at `read` is worth fetching content for. Counts heads that are not.
-    pub fn wants(&mut self, head: &Head, read: Position) -> Result<(), Offered> {
+    pub fn precheck(&mut self, head: &Head, read_at: Position) -> Result<(), Offered> {
         let Some(in_force) = &self.in_force else {
             return Ok(());
         };
@@ -283,10 +283,10 @@
             return Err(Offered::Older);
         }
         if head == mine {
-            self.read_again(read);
+            self.advance_read_at(read_at);
             return Err(Offered::Same);
         }
-        if read.supersedes(&self.read) {
+        if read_at.supersedes(&self.read_at) {
             // The store lost what is in force, and the operators gave its number to something else.
             return Ok(());
         }
@@ -295,33 +295,36 @@
     }
 
     /// Takes in a revision, from the platform, a peer or an operator's tool alike.
-    pub fn offer(&mut self, offered: impl Into<Unchecked>) -> Offered {
-        let mut checking = match self.begin(offered) {
+    pub fn offer(&mut self, offered: impl Into<UncheckedRevision>) -> Offered {
+        let mut checking = match self.begin_check(offered) {
             Ok(checking) => checking,
             Err(offered) => return offered,
         };
         loop {
             if let Some(checked) = checking.step() {
-                return self.end(checking, checked);
+                return self.end_check(checking, checked);
             }
         }
     }
 
     /// Begins to take a revision in. Its check is carried out by the caller, step by step, and ended with
-    /// [`Rollout::end`].
+    /// [`Rollout::end_check`].
     ///
     /// A configuration may leave out what is in force here already.
-    pub fn begin(&mut self, offered: impl Into<Unchecked>) -> Result<Checking, Offered> {
-        let Unchecked {
+    pub fn begin_check(
+        &mut self,
+        offered: impl Into<UncheckedRevision>,
+    ) -> Result<RevisionCheck, Offered> {
+        let UncheckedRevision {
             mut configuration,
             bundle,
         } = offered.into();
         if let Some(in_force) = &self.in_force {
             configuration.complete_from(&in_force.configuration);
         }
-        self.wants(&configuration.head, configuration.read)?;
+        self.precheck(&configuration.head, configuration.read_at)?;
         let revision = configuration.head.revision;
-        if self.is_under_way(revision, configuration.read) {
+        if self.is_under_way(revision, configuration.read_at) {
             return Err(Offered::UnderWay);
         }
         let digested = if bundle.is_some() {
@@ -335,8 +338,8 @@
         };
         let before = self.in_force.as_ref().map(|before| &before.declarations);
         let steps = CheckSteps::begin(bundle, before);
-        self.checking = Some((revision, configuration.read));
-        Ok(Checking {
+        self.checking = Some((revision, configuration.read_at));
+        Ok(RevisionCheck {
             configuration,
             steps,
             digested,
@@ -344,44 +347,48 @@
     }
 
     /// Ends the check of a revision. It is in force from now on, unless a higher one is, or it is bad.
-    pub fn end(&mut self, checking: Checking, checked: Result<Declarations, String>) -> Offered {
+    pub fn end_check(
+        &mut self,
+        checking: RevisionCheck,
+        checked: Result<Declarations, String>,
+    ) -> Offered {
         let configuration = checking.configuration;
         let after = configuration.head.revision;
-        if self.checking == Some((after, configuration.read)) {
+        if self.checking == Some((after, configuration.read_at)) {
             self.checking = None;
         }
         let declarations = match checked {
             Ok(declarations) => declarations,
             Err(error) => return self.bad(error),
         };
-        if let Err(offered) = self.wants(&configuration.head, configuration.read) {
+        if let Err(offered) = self.precheck(&configuration.head, configuration.read_at) {
             return offered;
         }
         let before = self.revision();
         assert!(after >= before, "revision {after} follows {before}");
-        self.content = configuration.head.short_digest();
-        self.read = configuration.read;
+        self.content_id = configuration.head.short_digest();
+        self.read_at = configuration.read_at;
         let before = self.in_force.as_ref();
         self.change_bytes = configuration.size_beside(before.map(|it| &it.configuration));
-        self.recent.put(self.content, &configuration);
+        self.recent.put(self.content_id, &configuration);
         self.in_force = Some(Arc::new(InForce {
             configuration,
             declarations,
         }));
-        self.counters.taken += 1;
+        self.counters.applied += 1;
         Offered::Taken
     }
 
-    fn is_under_way(&self, revision: u64, read: Position) -> bool {
+    fn is_under_way(&self, revision: u64, read_at: Position) -> bool {
         match self.checking {
-            Some((checked, at)) if checked == revision => !read.supersedes(&at),
+            Some((checked, at)) if checked == revision => !read_at.supersedes(&at),
             Some((checked, _)) => revision < checked,
             None => false,
         }
     }
 
     fn bad(&mut self, error: String) -> Offered {
-        self.counters.bad += 1;
+        self.counters.invalid += 1;
         Offered::Bad(error)
     }
 }
--- a/components/rollout/src/recent.rs
+++ b/components/rollout/src/recent.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 struct Known {
     /// Tells its content from all others.
-    content: u64,
+    content_id: u64,
     objects: BTreeSet<Digest>,
 }
 
@@ -24,21 +24,27 @@
 
 impl Recent {
     /// A revision is in force from now on.
-    pub(crate) fn put(&mut self, content: u64, configuration: &Configuration) {
+    pub(crate) fn put(&mut self, content_id: u64, configuration: &Configuration) {
         if self.known.len() == MOST {
             self.known.pop_front();
         }
         let objects = configuration.objects.keys().cloned().collect();
-        self.known.push_back(Known { content, objects });
+        self.known.push_back(Known {
+            content_id,
+            objects,
+        });
     }
 
     /// What a node lacks of `configuration` that has the revision of this `content`; none if that is not remembered.
-    pub(crate) fn lacking(
+    pub(crate) fn delta_for(
         &self,
-        content: u64,
+        content_id: u64,
         configuration: &Configuration,
     ) -> Option<Configuration> {
-        let known = self.known.iter().find(|known| known.content == content)?;
+        let known = self
+            .known
+            .iter()
+            .find(|known| known.content_id == content_id)?;
         let objects = configuration.objects.iter();
         let objects: BTreeMap<Digest, ByteBuf> = objects
             .filter(|(digest, _)| !known.objects.contains(*digest))
@@ -47,7 +53,7 @@
         Some(Configuration {
             head: configuration.head.clone(),
             objects,
-            read: configuration.read,
+            read_at: configuration.read_at,
         })
     }
 }
--- a/components/rollout/tests/rollout/lacking.rs
+++ b/components/rollout/tests/rollout/lacking.rs
@@ -31,7 +31,7 @@
             files,
         },
         objects,
-        read: Position::default(),
+        read_at: Position::default(),
     }
 }
 
@@ -52,7 +52,9 @@
         routes.remove(&(count / 2));
         let second = configuration(2, &routes);
         assert_eq!(sender.offer(second.clone()), Offered::Taken);
-        let sent = sender.lacking(receiver.content()).expect("it is in force");
+        let sent = sender
+            .delta_for(receiver.content_id())
+            .expect("it is in force");
         assert!(
             sent.size() < 16_000,
             "{} bytes of {count} routes",
@@ -71,8 +73,8 @@
     let mut sender = Rollout::default();
     let only = configuration(5, &routes(100));
     assert_eq!(sender.offer(only.clone()), Offered::Taken);
-    assert_eq!(sender.lacking(0), Some(only.clone()));
-    assert_eq!(sender.lacking(12_345), Some(only));
+    assert_eq!(sender.delta_for(0), Some(only.clone()));
+    assert_eq!(sender.delta_for(12_345), Some(only));
 }
 
 #[test]
@@ -80,10 +82,10 @@
     let mut sender = Rollout::default();
     let mut routes = routes(200);
     sender.offer(configuration(1, &routes));
-    let base = sender.content();
+    let base = sender.content_id();
     routes.insert(7, 700);
     sender.offer(configuration(2, &routes));
-    let sent = sender.lacking(base).expect("it is in force");
+    let sent = sender.delta_for(base).expect("it is in force");
     let mut blank = Rollout::default();
     assert!(matches!(blank.offer(sent), Offered::Bad(_)));
     assert_eq!(blank.revision(), 0);
@@ -111,7 +113,7 @@
         }
         let mut receiver = Rollout::default();
         receiver.offer(all[behind.min(all.len() - 1)].clone());
-        let sent = sender.lacking(receiver.content()).expect("it is in force");
+        let sent = sender.delta_for(receiver.content_id()).expect("it is in force");
         receiver.offer(sent);
         let in_force = receiver.in_force().expect("it is in force");
         prop_assert_eq!(&in_force.configuration, all.last().expect("one at least"));
--- a/components/rollout/tests/rollout/made.rs
+++ b/components/rollout/tests/rollout/made.rs
@@ -5,7 +5,7 @@
 
 use declarations::Bundle;
 use era::Position;
-use rollout::{split_sections, Change, Checking, Head, Offered, Rollout, Unchecked};
+use rollout::{split_sections, Change, Head, Offered, RevisionCheck, Rollout, UncheckedRevision};
 use std::collections::BTreeMap;
 
 fn change() -> Change {
@@ -27,14 +27,14 @@
     }
 }
 
-fn made(routes: usize) -> Unchecked {
-    Unchecked::make(1, change(), bundle(routes), Position::default())
+fn made(routes: usize) -> UncheckedRevision {
+    UncheckedRevision::from_bundle(1, change(), bundle(routes), Position::default())
 }
 
-fn finish(rollout: &mut Rollout, mut checking: Checking) -> Offered {
+fn finish(rollout: &mut Rollout, mut checking: RevisionCheck) -> Offered {
     loop {
         if let Some(checked) = checking.step() {
-            return rollout.end(checking, checked);
+            return rollout.end_check(checking, checked);
         }
     }
 }
@@ -43,16 +43,16 @@
 fn what_a_node_made_itself_is_not_digested_again_and_what_it_is_told_is() {
     for routes in [500, 2_000, 8_000] {
         let mut rollout = Rollout::default();
-        let checking = rollout.begin(made(routes)).expect("new");
-        assert_eq!(checking.digested(), 0);
+        let checking = rollout.begin_check(made(routes)).expect("new");
+        assert_eq!(checking.digested_bytes(), 0);
         assert_eq!(finish(&mut rollout, checking), Offered::Taken);
         let told = made(routes).configuration().clone();
         let size = told.size();
         let mut other = Rollout::default();
-        let checking = other.begin(told).expect("new");
-        assert_eq!(checking.digested(), size);
+        let checking = other.begin_check(told).expect("new");
+        assert_eq!(checking.digested_bytes(), size);
         assert_eq!(finish(&mut other, checking), Offered::Taken);
-        assert_eq!(rollout.content(), other.content());
+        assert_eq!(rollout.content_id(), other.content_id());
     }
 }
 
@@ -66,7 +66,7 @@
         change: change(),
         files,
     };
-    let made = Unchecked::make(1, change(), bundle, Position::default());
+    let made = UncheckedRevision::from_bundle(1, change(), bundle, Position::default());
     assert_eq!(made.configuration().head, head);
     assert_eq!(made.configuration().objects, objects);
 }
@@ -76,7 +76,7 @@
     let text = "[route r]\nhost=h\npath=/\nservices=nobody:1\n".to_string();
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
     let made = || {
-        Unchecked::make(
+        UncheckedRevision::from_bundle(
             1,
             change(),
             Bundle {
--- a/components/rollout/tests/rollout/main.rs
+++ b/components/rollout/tests/rollout/main.rs
@@ -14,7 +14,7 @@
 use rollout::{split, Change, Configuration, Head};
 
 /// A revision with these files, read at `read`.
-pub fn revision(revision: u64, bundle: &Bundle, read: Position) -> Configuration {
+pub fn revision(revision: u64, bundle: &Bundle, read_at: Position) -> Configuration {
     let (files, objects) = split(bundle);
     let change = Change {
         id: revision.to_string(),
@@ -31,6 +31,6 @@
     Configuration {
         head,
         objects,
-        read,
+        read_at,
     }
 }
--- a/components/rollout/tests/rollout/returns.rs
+++ b/components/rollout/tests/rollout/returns.rs
@@ -5,24 +5,24 @@
 use rollout::{Configuration, Offered, Rollout, Summary};
 use std::collections::BTreeMap;
 
-fn configuration(revision: u64, deadline_ms: u64, read: (u64, u64)) -> Configuration {
+fn configuration(revision: u64, deadline_ms: u64, read_at: (u64, u64)) -> Configuration {
     let text = format!(
         "[registered one]\nhealth_path = /health\n\n[route r]\nhost = one.example\npath = /\n\
          services = one:1\ndeadline_ms = {deadline_ms}\n"
     );
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
-    let read = Position {
-        era: Some(Era(read.0)),
-        revision: read.1,
+    let read_at = Position {
+        era: Some(Era(read_at.0)),
+        revision: read_at.1,
     };
-    crate::revision(revision, &Bundle { files }, read)
+    crate::revision(revision, &Bundle { files }, read_at)
 }
 
 fn summary(rollout: &Rollout) -> Summary {
     Summary {
         revision: rollout.revision(),
-        content: rollout.content(),
-        read: rollout.read(),
+        content_id: rollout.content_id(),
+        read_at: rollout.read_at(),
         ..Summary::default()
     }
 }
@@ -59,10 +59,10 @@
     let anew = holding(configuration(5, 900, (2, 12)));
     let (lost, anew) = (summary(&lost), summary(&anew));
     assert!(anew.is_newer_than(&lost) && !lost.is_newer_than(&anew));
-    assert!(!anew.is_level_with(&lost));
+    assert!(!anew.is_in_sync_with(&lost));
     // The same content, read again in the later era, is the same.
     let again = summary(&holding(configuration(5, 700, (2, 12))));
-    assert!(again.is_level_with(&lost));
+    assert!(again.is_in_sync_with(&lost));
     assert!(!again.is_newer_than(&lost));
 }
 
--- a/components/rollout/tests/rollout/reuse.rs
+++ b/components/rollout/tests/rollout/reuse.rs
@@ -8,7 +8,7 @@
 
 use declarations::{Bundle, Route};
 use era::Position;
-use rollout::{split, Checking, Configuration, Offered, Rollout};
+use rollout::{split, Configuration, Offered, RevisionCheck, Rollout};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -52,11 +52,11 @@
 }
 
 /// Carries a check through; returns its outcome and in how many steps.
-fn finish(rollout: &mut Rollout, mut checking: Checking) -> (Offered, usize) {
+fn finish(rollout: &mut Rollout, mut checking: RevisionCheck) -> (Offered, usize) {
     let mut steps = 1;
     loop {
         if let Some(checked) = checking.step() {
-            return (rollout.end(checking, checked), steps);
+            return (rollout.end_check(checking, checked), steps);
         }
         steps += 1;
     }
@@ -65,12 +65,14 @@
 #[test]
 fn a_large_set_is_checked_in_steps_and_a_small_change_of_it_in_few() {
     let mut rollout = Rollout::default();
-    let checking = rollout.begin(configuration(1, 3_000, None)).expect("new");
+    let checking = rollout
+        .begin_check(configuration(1, 3_000, None))
+        .expect("new");
     let (offered, steps) = finish(&mut rollout, checking);
     assert_eq!(offered, Offered::Taken);
     assert!(steps >= 20, "{steps} steps");
     let checking = rollout
-        .begin(configuration(2, 3_000, Some(9)))
+        .begin_check(configuration(2, 3_000, Some(9)))
         .expect("new");
     let (offered, steps) = finish(&mut rollout, checking);
     assert_eq!(offered, Offered::Taken);
@@ -80,11 +82,15 @@
 #[test]
 fn of_two_revisions_that_are_checked_at_the_same_time_the_higher_one_stays() {
     let mut rollout = Rollout::default();
-    let lower = rollout.begin(configuration(3, 10, None)).expect("new");
-    assert_eq!((rollout.revision(), rollout.newest()), (0, 3));
-    let same = rollout.begin(configuration(3, 10, None));
+    let lower = rollout
+        .begin_check(configuration(3, 10, None))
+        .expect("new");
+    assert_eq!((rollout.revision(), rollout.newest_revision()), (0, 3));
+    let same = rollout.begin_check(configuration(3, 10, None));
     assert_eq!(same.expect_err("once is enough"), Offered::UnderWay);
-    let higher = rollout.begin(configuration(4, 10, Some(1))).expect("new");
+    let higher = rollout
+        .begin_check(configuration(4, 10, Some(1)))
+        .expect("new");
     assert_eq!(finish(&mut rollout, higher).0, Offered::Taken);
     assert_eq!(finish(&mut rollout, lower).0, Offered::Older);
     assert_eq!(rollout.revision(), 4);
@@ -96,12 +102,12 @@
     let mut forged = configuration(3, 10, None);
     let part = forged.objects.values_mut().next().expect("a part");
     part.push(b'x');
-    assert!(matches!(rollout.begin(forged), Err(Offered::Bad(_))));
+    assert!(matches!(rollout.begin_check(forged), Err(Offered::Bad(_))));
     let mut bad = configuration(3, 10, None);
     let text = "[route r]\nhost = h\npath = /\nservices = nobody:1\n".to_string();
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
     (bad.head.files, bad.objects) = split(&Bundle { files });
-    let checking = rollout.begin(bad).expect("its content is whole");
+    let checking = rollout.begin_check(bad).expect("its content is whole");
     assert!(matches!(finish(&mut rollout, checking).0, Offered::Bad(_)));
     assert_eq!(rollout.offer(configuration(3, 10, None)), Offered::Taken);
 }
--- a/components/rollout/tests/rollout/world.rs
+++ b/components/rollout/tests/rollout/world.rs
@@ -281,7 +281,7 @@
         Configuration {
             head,
             objects,
-            read: Position::default(),
+            read_at: Position::default(),
         }
     }
 
