--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -158,14 +158,14 @@
         }
         let now = node.now();
         let first_read = *node.first_read.borrow();
-        let until = first_read.caller_waits_until(arrived, time_us, watching::is_read(node));
+        let until = first_read.caller_wait_deadline(arrived, time_us, watching::is_read(node));
         if now >= until {
             return None;
         }
-        if first_read.needs_place(now) && place.is_none() {
-            place = Some(node.blank_waiters.enter(call.bytes())?);
+        if first_read.needs_reservation(now) && place.is_none() {
+            place = Some(node.blank_waiters.reserve(call.bytes())?);
         }
-        let limit_us = first_read.next_look(now, until).since(now);
+        let limit_us = first_read.next_check(now, until).since(now);
         let limit = Duration::from_micros(limit_us);
         node.first_declarations.wait(limit).await;
     }
@@ -291,7 +291,7 @@
 /// that wait for them.
 async fn registered_soon(node: &Rc<Node>, service: &Name, deadline: Moment) -> Drawn {
     let first_read = *node.first_read.borrow();
-    let until = first_read.caller_waits_for_upstream_until().min(deadline);
+    let until = first_read.upstream_wait_deadline().min(deadline);
     loop {
         let drawn = registered(node, service);
         let now = node.now();
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use watch::Allowed;
+use watch::AllowedWork;
 use wire::Frame;
 
 /// Mean time between two comparisons with a peer chosen at random.
@@ -134,7 +134,7 @@
 
 /// Asks a peer for what is newer there, unless it is on its way or the store is about to give it.
 fn ask(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
-    if watching::allowed(node) == Allowed::Nothing {
+    if watching::allowed(node) == AllowedWork::Nothing {
         // Asked again, the store would send the same once more over the same link. The peer tells this only once, so
         // it is asked later.
         if let Some(registration) = &node.registration {
@@ -188,7 +188,7 @@
 /// that is still newer.
 pub fn ask_postponed(node: &Rc<Node>, registration: &Registration) {
     let allowed = watching::allowed(node);
-    let due = registration.postponed.borrow_mut().due(allowed);
+    let due = registration.postponed.borrow_mut().take_due(allowed);
     for reply in due {
         reply.send(node, Frame::Summary(node.summary()));
     }
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -33,7 +33,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use upstream::Pool;
-use watch::{FirstRead, Timing, Waiting, Watch};
+use watch::{FirstRead, Timing, WaitingCallers, Watch};
 use wire::{Answer, RelayOutcome};
 
 /// Keys that a node remembers at most.
@@ -127,7 +127,7 @@
     /// The first read of the declarations, before which other work waits.
     pub first_read: RefCell<FirstRead>,
     /// Callers that wait for the first declarations.
-    pub blank_waiters: Waiting,
+    pub blank_waiters: WaitingCallers,
     /// Wakes them when declarations come into force or their first read ends.
     pub first_declarations: Wakeup,
     /// Wakes callers that wait for an upstream when other nodes have become known.
@@ -216,7 +216,7 @@
             view: RefCell::default(),
             watch: RefCell::new(watch(&cfg, clock.now(), boot)),
             first_read: RefCell::new(FirstRead::new(clock.now())),
-            blank_waiters: Waiting::default(),
+            blank_waiters: WaitingCallers::default(),
             first_declarations: Wakeup::default(),
             fleet_change: Wakeup::default(),
             platform: Rc::new(Client::new(cfg.platform.clone())),
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -32,7 +32,7 @@
 use settings::Settings;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use watch::Postponed;
+use watch::PostponedPeers;
 
 /// What a node keeps of a registered fleet.
 pub struct Registration {
@@ -53,7 +53,7 @@
     /// Records that arrive at the start and are told in one line.
     pub startup_records: RefCell<StartupRecords>,
     /// Peers that told of newer declarations while this node asked nobody.
-    pub postponed: RefCell<Postponed<Reply>>,
+    pub postponed: RefCell<PostponedPeers<Reply>>,
     /// Whether this node's record has been sent to open connections only, because its declarations are being read.
     announcement_deferred: Cell<bool>,
     /// Whether an upstream that this node has named is gone or replaced. Its record is not deferred from then on.
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -21,7 +21,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
-use watch::{Allowed, CONTACT_DIALS};
+use watch::{AllowedWork, CONTACT_DIALS};
 use wire::Frame;
 
 /// Time between two looks for nodes that are known and not connected. A node that restarted while
@@ -59,7 +59,7 @@
 pub fn tell_all(node: &Rc<Node>, registration: &Registration, own: &Record) {
     let is_deferred = registry::can_defer(own)
         && !registration.upstream_replaced.get()
-        && watching::allowed(node) != Allowed::Everything;
+        && watching::allowed(node) != AllowedWork::Everything;
     registration.announcement_deferred.set(is_deferred);
     let fleet = registration.fleet.borrow();
     let mut told = registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm));
@@ -283,9 +283,9 @@
     loop {
         configuration::ask_postponed(node, registration);
         let count = match watching::allowed(node) {
-            Allowed::Everything => return,
-            Allowed::Nothing => RECORD_DIALS,
-            Allowed::Contacts => CONTACT_DIALS,
+            AllowedWork::Everything => return,
+            AllowedWork::Nothing => RECORD_DIALS,
+            AllowedWork::Contacts => CONTACT_DIALS,
         };
         for vm in start_contacts(node, registration, count) {
             links::dial(node, &vm);
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -27,7 +27,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use watch::{Advice, Allowed, Word};
+use watch::{Advice, AllowedWork, Word};
 use wire::Frame;
 
 /// How long one watch waits. One whose connection has fallen silent is found by a look of its own
@@ -116,9 +116,9 @@
 
 /// What this node may do now beside the first read of its declarations. A node to which the platform lists the VMs reads
 /// small objects one by one, and all its work is allowed at once.
-pub fn allowed(node: &Node) -> Allowed {
+pub fn allowed(node: &Node) -> AllowedWork {
     if node.in_force().is_some() || node.registration.is_none() {
-        return Allowed::Everything;
+        return AllowedWork::Everything;
     }
     let is_read = is_read(node);
     node.first_read.borrow().allowed(node.now(), is_read)
@@ -195,7 +195,7 @@
 
 /// Notes that the store has answered the first read or failed, and wakes the callers that wait for declarations.
 fn first_read_ended(node: &Node) {
-    node.first_read.borrow_mut().ended();
+    node.first_read.borrow_mut().finish();
     node.first_declarations.wake();
 }
 
--- a/components/watch/src/duty.rs
+++ b/components/watch/src/duty.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 
 /// Watchers of a hall: the loss of one changes nothing for the others.
-pub const WANTED: usize = 2;
+pub const WATCHERS_PER_HALL: usize = 2;
 /// Time over which nodes that hear of one watcher only are spread, in microseconds: a change still arrives
 /// through the one.
 const SECOND_SPREAD_US: u64 = 4 * SECOND;
@@ -218,7 +218,7 @@
             .lately(now)
             .filter(|vm| rendezvous(TOPIC, vm) < mine)
             .count();
-        if better < WANTED {
+        if better < WATCHERS_PER_HALL {
             return true;
         }
         self.state = State::Idle;
@@ -283,7 +283,7 @@
         }
         match self.lately(now).count() {
             0 => Need::First,
-            known if known < WANTED => Need::Second,
+            known if known < WATCHERS_PER_HALL => Need::Second,
             _ => Need::Nothing,
         }
     }
--- a/components/watch/src/lib.rs
+++ b/components/watch/src/lib.rs
@@ -14,10 +14,12 @@
 mod waiting;
 mod word;
 
-pub use duty::{Advice, Watch, WANTED};
-pub use first_read::{Allowed, FirstRead, ANSWER_US, BLANK_WAIT_US, CONTACT_DIALS, READ_US};
+pub use duty::{Advice, Watch, WATCHERS_PER_HALL};
+pub use first_read::{
+    AllowedWork, FirstRead, ANSWER_TIMEOUT_US, CONTACT_DIALS, READ_TIMEOUT_US, STARTUP_WAIT_US,
+};
 pub use freshness::Freshness;
-pub use postponed::{Postponed, MOST_POSTPONED};
+pub use postponed::{PostponedPeers, MAX_POSTPONED};
 pub use timing::Timing;
-pub use waiting::{Waiting, WaitingPlace, MOST_WAITING, MOST_WAITING_BYTES};
+pub use waiting::{WaitReservation, WaitingCallers, MAX_WAITING, MAX_WAITING_BYTES};
 pub use word::Word;
--- a/components/watch/src/waiting.rs
+++ b/components/watch/src/waiting.rs
@@ -3,42 +3,42 @@
 use std::cell::Cell;
 
 /// Callers that wait at the same time at most. At 300 requests a second a node takes in so many within 1.7 s.
-pub const MOST_WAITING: usize = 512;
+pub const MAX_WAITING: usize = 512;
 /// Bytes of their requests, at most: what rows of answers may hold as well.
-pub const MOST_WAITING_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_WAITING_BYTES: usize = 4 * 1024 * 1024;
 
 /// What all of them hold together.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct WaitingCallers {
     callers: Cell<usize>,
     bytes: Cell<usize>,
 }
 
 /// The place of one of them.
 #[derive(Debug)]
-pub struct WaitingPlace<'a> {
-    waiting: &'a Waiting,
+pub struct WaitReservation<'a> {
+    waiting: &'a WaitingCallers,
     bytes: usize,
 }
 
-impl Waiting {
+impl WaitingCallers {
     /// A place for a request of so many bytes; none when there is no room left.
-    pub fn enter(&self, bytes: usize) -> Option<WaitingPlace<'_>> {
+    pub fn reserve(&self, bytes: usize) -> Option<WaitReservation<'_>> {
         let callers = self.callers.get() + 1;
         let held = self.bytes.get() + bytes;
-        if callers > MOST_WAITING || held > MOST_WAITING_BYTES {
+        if callers > MAX_WAITING || held > MAX_WAITING_BYTES {
             return None;
         }
         self.callers.set(callers);
         self.bytes.set(held);
-        Some(WaitingPlace {
+        Some(WaitReservation {
             waiting: self,
             bytes,
         })
     }
 }
 
-impl Drop for WaitingPlace<'_> {
+impl Drop for WaitReservation<'_> {
     fn drop(&mut self) {
         let waiting = self.waiting;
         waiting.callers.set(waiting.callers.get() - 1);
