--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -476,7 +476,7 @@
 }
 
 fn watch(cfg: &Settings, now: Moment, boot: BootId) -> Watch {
-    let timing = Timing::of(cfg.in_force_within_ms * MILLISECOND);
+    let timing = Timing::for_bound(cfg.in_force_within_ms * MILLISECOND);
     Watch::new(cfg.vm.clone(), timing, now, cfg.first_start, boot.0)
 }
 
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -82,7 +82,7 @@
             let wait_us = offer_at.map_or(0, |at| at.since(node.now()));
             audit::store_came_back(before, era, from, place, wait_us);
             // What was confirmed before says nothing of what the store holds now.
-            node.watch.borrow_mut().forget_confirmation();
+            node.watch.borrow_mut().clear_confirmation();
             tell(node, registration, from);
             registration::offer_soon(registration);
         }
--- a/components/daemon/src/watching/freshness.rs
+++ b/components/daemon/src/watching/freshness.rs
@@ -16,7 +16,7 @@
     if node.rollout.borrow().newest_revision() > node.rollout.borrow().revision() {
         return false;
     }
-    node.watch.borrow_mut().confirmed(as_of);
+    node.watch.borrow_mut().on_confirmed(as_of);
     note(node);
     true
 }
@@ -41,9 +41,9 @@
         return;
     }
     let before_us = node.watch.borrow().age_us(now);
-    node.watch.borrow_mut().confirmed(Moment(now.0 - age_us));
+    node.watch.borrow_mut().on_confirmed(Moment(now.0 - age_us));
     note(node);
-    let period_us = node.watch.borrow().period_us();
+    let period_us = node.watch.borrow().notice_interval_us();
     let is_news = before_us.is_none_or(|before_us| before_us > age_us + period_us);
     let is_far = node.hall_of(from).is_some_and(|hall| hall != node.cfg.hall);
     if is_news && is_far {
@@ -56,7 +56,11 @@
     let now = node.now();
     let (is_stale, age_us, watchers) = {
         let watch = node.watch.borrow();
-        (watch.is_stale(now), watch.age_us(now), watch.watchers(now))
+        (
+            watch.is_stale(now),
+            watch.age_us(now),
+            watch.active_watcher_count(now),
+        )
     };
     let mut state = node.platform_state.borrow_mut();
     if state.is_stale == is_stale {
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -27,7 +27,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use watch::{Advice, AllowedWork, Word};
+use watch::{Advice, AllowedWork, WatchNotice};
 use wire::Frame;
 
 /// How long one watch waits. One whose connection has fallen silent is found by a look of its own
@@ -100,13 +100,13 @@
     loop {
         let now = node.now();
         let (known, open) = links::near(&node);
-        node.watch.borrow_mut().connected(now, known, open);
+        node.watch.borrow_mut().on_connections(now, known, open);
         let advice = node.watch.borrow_mut().advice(now);
         match advice {
-            Advice::Ask if is_coming(&node) => pause(&node).await,
-            Advice::Ask => watch(&node).await,
-            Advice::Rest(until) => {
-                let period_us = node.watch.borrow().period_us();
+            Advice::Query if is_coming(&node) => pause(&node).await,
+            Advice::Query => watch(&node).await,
+            Advice::WaitUntil(until) => {
+                let period_us = node.watch.borrow().notice_interval_us();
                 let rest_us = until.since(now).clamp(1, period_us / 2);
                 task::sleep(Duration::from_micros(rest_us)).await;
             }
@@ -167,7 +167,7 @@
 
 /// The time between two words of a watcher.
 async fn pause(node: &Node) {
-    let period_us = node.watch.borrow().period_us();
+    let period_us = node.watch.borrow().notice_interval_us();
     task::sleep(Duration::from_micros(period_us)).await;
 }
 
@@ -208,29 +208,29 @@
 
 /// Watches the platform for the hall, until it gives no answer or the hall has enough other watchers.
 async fn watch(node: &Rc<Node>) {
-    node.watch.borrow_mut().asks();
-    tell(node, Word::Asks);
+    node.watch.borrow_mut().on_query();
+    tell(node, WatchNotice::Querying);
     let ended = follow(node).await;
     let now = node.now();
     match ended {
         Ok(()) => tracing::info!("others of this hall watch the platform"),
         Err(error) => {
-            node.watch.borrow_mut().failed(now);
+            node.watch.borrow_mut().on_failure(now);
             set_reachable(node, false);
             tracing::info!(%error, "the platform gave no answer");
             listed::ask_seeds(node);
-            tell(node, Word::Failed);
+            tell(node, WatchNotice::Failed);
         }
     }
 }
 
 async fn follow(node: &Rc<Node>) -> Result<()> {
     look_at_all(node).await?;
-    node.watch.borrow_mut().answered();
+    node.watch.borrow_mut().on_answer();
     set_reachable(node, true);
     tracing::info!("this node watches the platform for its hall");
     loop {
-        tell(node, Word::Watches);
+        tell(node, WatchNotice::Watching);
         let all = topics(node)
             .iter()
             .map(|topic| Box::pin(keep(node, *topic)));
@@ -274,9 +274,9 @@
             return Ok(());
         }
         let now = node.now();
-        let due = node.watch.borrow().confirm_at(now);
+        let due = node.watch.borrow().next_confirmation(now);
         if due > now {
-            let period_us = node.watch.borrow().period_us();
+            let period_us = node.watch.borrow().notice_interval_us();
             task::sleep(Duration::from_micros(due.since(now).min(period_us))).await;
             continue;
         }
@@ -294,7 +294,7 @@
             return Ok(());
         }
         if confirmed {
-            tell(node, Word::Watches);
+            tell(node, WatchNotice::Watching);
             freshness::tell_other_halls(node);
         } else {
             pause(node).await;
@@ -304,7 +304,7 @@
 
 /// Waits for news, again and again; ends when the duty does.
 async fn keep(node: &Rc<Node>, topic: Topic) -> Result<()> {
-    while node.watch.borrow_mut().renews(node.now()) {
+    while node.watch.borrow_mut().keep_watching(node.now()) {
         if let Err(error) = look(node, topic, Manner::Wait).await {
             // A watch that waits may be cut for no reason that lasts. Without a second try, a change made
             // just then would wait until another node has found out.
@@ -318,18 +318,18 @@
 /// Says again and again that this node watches, while it does.
 async fn speak(node: Rc<Node>) {
     loop {
-        let period_us = node.watch.borrow().period_us();
+        let period_us = node.watch.borrow().notice_interval_us();
         task::sleep(Duration::from_micros(period_us)).await;
         freshness::note(&node);
         // A hall that a return of the store has lost stays evacuated for a while only.
         home_driver::leaving_changed(&node);
         if node.watch.borrow().is_watching() && !node.stopping.get() {
-            tell(&node, Word::Watches);
+            tell(&node, WatchNotice::Watching);
         }
     }
 }
 
-fn tell(node: &Rc<Node>, word: Word) {
+fn tell(node: &Rc<Node>, word: WatchNotice) {
     let summary = node.summary();
     let frame = Frame::Watch { word, summary };
     if node.registration.is_some() {
@@ -341,9 +341,9 @@
 }
 
 /// Takes in what another node says of its calls to the platform, and what it knows.
-pub fn heard(node: &Rc<Node>, from: &Name, word: Word, theirs: &Summary, reply: &Reply) {
+pub fn heard(node: &Rc<Node>, from: &Name, word: WatchNotice, theirs: &Summary, reply: &Reply) {
     let now = node.now();
-    node.watch.borrow_mut().heard(now, from, word);
+    node.watch.borrow_mut().on_notice(now, from, word);
     configuration::compare(node, from, theirs, reply);
 }
 
--- a/components/watch/src/duty.rs
+++ b/components/watch/src/duty.rs
@@ -2,7 +2,7 @@
 
 use crate::freshness::Freshness;
 use crate::timing::Timing;
-use crate::word::Word;
+use crate::word::WatchNotice;
 use membership::rendezvous;
 use names::{Moment, Name, MILLISECOND, SECOND};
 use rand::rngs::SmallRng;
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Advice {
     /// Ask the platform, and watch it from then on.
-    Ask,
+    Query,
     /// Ask nothing before this moment, unless something is heard meanwhile.
-    Rest(Moment),
+    WaitUntil(Moment),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -114,26 +114,26 @@
             alone_until: now,
             rng: SmallRng::seed_from_u64(seed),
         };
-        let (wait_us, spread_us) = if first_start {
+        let (wait_us, jitter_us) = if first_start {
             (FIRST_START_US, FIRST_SPREAD_US)
         } else {
-            (timing.quiet_us, timing.spread_us)
+            (timing.notice_timeout_us, timing.jitter_us)
         };
-        let (alone_us, connect_us) = if first_start {
+        let (alone_us, connect_timeout_us) = if first_start {
             (FIRST_ALONE_US, FIRST_CONNECTED_US)
         } else {
-            (timing.quiet_us, timing.connect_us)
+            (timing.notice_timeout_us, timing.connect_timeout_us)
         };
         watch.alone_until = now + alone_us;
-        watch.connects_until = Some(now + connect_us);
-        watch.due = now + wait_us + watch.draw(spread_us);
+        watch.connects_until = Some(now + connect_timeout_us);
+        watch.due = now + wait_us + watch.draw(jitter_us);
         watch
     }
 
     /// Takes in how many nodes of the hall are known, and to how many of them a connection is open. A node that has
     /// just started leaves the platform alone until it can hear those that ask: while connections were still being
     /// opened, each of them asked for itself.
-    pub fn connected(&mut self, now: Moment, known: usize, open: usize) {
+    pub fn on_connections(&mut self, now: Moment, known: usize, open: usize) {
         self.hall = known + 1;
         let Some(until) = self.connects_until else {
             return;
@@ -142,43 +142,43 @@
         let is_alone = known == 0 && now >= self.alone_until;
         if is_connected || is_alone || now >= until {
             self.connects_until = None;
-            self.due = self.due.max(now + self.draw(self.timing.spread_us));
+            self.due = self.due.max(now + self.draw(self.timing.jitter_us));
         }
     }
 
     /// What to do now, while this node neither asks nor watches.
     pub fn advice(&mut self, now: Moment) -> Advice {
         if self.state != State::Idle {
-            return Advice::Rest(now + self.timing.quiet_us);
+            return Advice::WaitUntil(now + self.timing.notice_timeout_us);
         }
         let need = self.need(now);
         if need != self.need {
             self.need = need;
             self.due = match need {
-                Need::First => now + self.draw(self.timing.spread_us),
-                Need::Second => now + self.timing.quiet_us + self.draw(SECOND_SPREAD_US),
+                Need::First => now + self.draw(self.timing.jitter_us),
+                Need::Second => now + self.timing.notice_timeout_us + self.draw(SECOND_SPREAD_US),
                 Need::Nothing => self.due,
             };
         }
         if need == Need::Nothing {
-            return Advice::Rest(now + self.timing.quiet_us);
+            return Advice::WaitUntil(now + self.timing.notice_timeout_us);
         }
         match self.connects_until {
-            Some(until) if now < until => Advice::Rest(until.max(self.due)),
-            _ if now >= self.due => Advice::Ask,
-            _ => Advice::Rest(self.due),
+            Some(until) if now < until => Advice::WaitUntil(until.max(self.due)),
+            _ if now >= self.due => Advice::Query,
+            _ => Advice::WaitUntil(self.due),
         }
     }
 
     /// Takes in what another node of the hall said.
-    pub fn heard(&mut self, now: Moment, from: &Name, word: Word) {
+    pub fn on_notice(&mut self, now: Moment, from: &Name, word: WatchNotice) {
         self.heard = Some(now);
         match word {
-            Word::Watches => {
+            WatchNotice::Watching => {
                 self.watchers.insert(from.clone(), now);
             }
-            Word::Asks => self.leave_it_to_another(now),
-            Word::Failed => {
+            WatchNotice::Querying => self.leave_it_to_another(now),
+            WatchNotice::Failed => {
                 self.watchers.remove(from);
                 self.leave_it_to_another(now);
             }
@@ -186,18 +186,18 @@
     }
 
     /// This node asks from now on.
-    pub fn asks(&mut self) {
+    pub fn on_query(&mut self) {
         self.state = State::Asking;
     }
 
     /// The platform answered: this node watches it from now on.
-    pub fn answered(&mut self) {
+    pub fn on_answer(&mut self) {
         self.state = State::Watching;
         self.pause_us = LEAST_PAUSE_US;
     }
 
     /// The platform gave no answer. The next try is another node's, where there is one.
-    pub fn failed(&mut self, now: Moment) {
+    pub fn on_failure(&mut self, now: Moment) {
         self.state = State::Idle;
         self.need = Need::First;
         if self.is_alone(now) {
@@ -206,13 +206,13 @@
             self.due = now + pause_us / 2 + self.rng.random_range(0..=pause_us / 2);
         } else {
             self.pause_us = LEAST_PAUSE_US;
-            self.due = now + 2 * self.timing.spread_us + self.draw(self.timing.spread_us);
+            self.due = now + 2 * self.timing.jitter_us + self.draw(self.timing.jitter_us);
         }
     }
 
     /// Whether this node, whose watch has just ended, goes on: not when the hall has enough others that come
     /// before it. If not, it rests.
-    pub fn renews(&mut self, now: Moment) -> bool {
+    pub fn keep_watching(&mut self, now: Moment) -> bool {
         let mine = rendezvous(TOPIC, &self.me);
         let better = self
             .lately(now)
@@ -226,21 +226,21 @@
     }
 
     /// The platform held nothing newer than this node does at `as_of`.
-    pub fn confirmed(&mut self, as_of: Moment) {
+    pub fn on_confirmed(&mut self, as_of: Moment) {
         if self.freshness.confirm(as_of) {
-            let most_us = self.timing.confirm_spread_us;
+            let most_us = self.timing.confirm_jitter_us;
             self.confirm_draw_us = self.confirm_rng.random_range(0..=most_us);
         }
     }
 
     /// What was known of that says nothing any more: the platform's store came back from an older copy.
-    pub fn forget_confirmation(&mut self) {
+    pub fn clear_confirmation(&mut self) {
         self.freshness = Freshness::default();
     }
 
     /// When this node, which watches, asks the platform anew unless what it holds is confirmed meanwhile.
-    pub fn confirm_at(&self, now: Moment) -> Moment {
-        let wait_us = self.timing.confirm_us + self.confirm_draw_us;
+    pub fn next_confirmation(&self, now: Moment) -> Moment {
+        let wait_us = self.timing.confirm_after_us + self.confirm_draw_us;
         let age_us = self.age_us(now).unwrap_or(wait_us);
         now + wait_us.saturating_sub(age_us)
     }
@@ -253,16 +253,16 @@
     /// Whether that was too long ago.
     pub fn is_stale(&self, now: Moment) -> bool {
         self.age_us(now)
-            .is_none_or(|age_us| age_us >= self.timing.stale_us)
+            .is_none_or(|age_us| age_us >= self.timing.stale_after_us)
     }
 
     /// The other nodes that have lately said that they watch: the platform answers them.
-    pub fn answered_nodes(&self, now: Moment) -> Vec<Name> {
+    pub fn active_watchers(&self, now: Moment) -> Vec<Name> {
         self.lately(now).cloned().collect()
     }
 
     /// How many other nodes have lately said that they watch.
-    pub fn watchers(&self, now: Moment) -> usize {
+    pub fn active_watcher_count(&self, now: Moment) -> usize {
         self.lately(now).count()
     }
 
@@ -272,8 +272,8 @@
     }
 
     /// Between two words of a watcher, in microseconds.
-    pub fn period_us(&self) -> u64 {
-        self.timing.period_us
+    pub fn notice_interval_us(&self) -> u64 {
+        self.timing.notice_interval_us
     }
 
     fn need(&self, now: Moment) -> Need {
@@ -290,17 +290,17 @@
 
     /// The other nodes that have lately said that they watch.
     fn lately(&self, now: Moment) -> impl Iterator<Item = &Name> {
-        let quiet_us = self.timing.quiet_us;
+        let notice_timeout_us = self.timing.notice_timeout_us;
         self.watchers
             .iter()
-            .filter(move |(_, at)| now.since(**at) < quiet_us)
+            .filter(move |(_, at)| now.since(**at) < notice_timeout_us)
             .map(|(vm, _)| vm)
     }
 
     /// Another node has just tried or tries now: one try at a time is enough for a hall, however many nodes
     /// find out together that there is no watcher.
     fn leave_it_to_another(&mut self, now: Moment) {
-        let earliest = now + self.timing.spread_us + self.draw(self.timing.spread_us);
+        let earliest = now + self.timing.jitter_us + self.draw(self.timing.jitter_us);
         self.due = self.due.max(earliest);
     }
 
--- a/components/watch/src/timing.rs
+++ b/components/watch/src/timing.rs
@@ -19,34 +19,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// Between two words of a watcher.
-    pub period_us: u64,
+    pub notice_interval_us: u64,
     /// A watcher that has said nothing for so long doesn't count.
-    pub quiet_us: u64,
+    pub notice_timeout_us: u64,
     /// Over which the nodes that find no watcher are spread, and for which they leave a try to another.
-    pub spread_us: u64,
+    pub jitter_us: u64,
     /// A watcher asks anew once what it holds was not confirmed for so long.
-    pub confirm_us: u64,
+    pub confirm_after_us: u64,
     /// Over which the watchers are spread then.
-    pub confirm_spread_us: u64,
+    pub confirm_jitter_us: u64,
     /// What was not confirmed for so long counts as stale.
-    pub stale_us: u64,
+    pub stale_after_us: u64,
     /// A node that starts waits for connections to its hall for so long at most. Its callers' changes bind it only
     /// after that.
-    pub connect_us: u64,
+    pub connect_timeout_us: u64,
 }
 
 impl Timing {
     /// The times for a fleet in which a change must be in force within `bound_us`.
-    pub fn of(bound_us: u64) -> Timing {
-        let quiet_us = bound_us / QUIET_PART;
+    pub fn for_bound(bound_us: u64) -> Timing {
+        let notice_timeout_us = bound_us / QUIET_PART;
         Timing {
-            period_us: quiet_us / WORDS_IN_QUIET,
-            quiet_us,
-            spread_us: quiet_us / WORDS_IN_QUIET,
-            confirm_us: bound_us / CONFIRM_PART,
-            confirm_spread_us: bound_us / CONFIRM_SPREAD_PART,
-            stale_us: bound_us / STALE_PART,
-            connect_us: bound_us,
+            notice_interval_us: notice_timeout_us / WORDS_IN_QUIET,
+            notice_timeout_us,
+            jitter_us: notice_timeout_us / WORDS_IN_QUIET,
+            confirm_after_us: bound_us / CONFIRM_PART,
+            confirm_jitter_us: bound_us / CONFIRM_SPREAD_PART,
+            stale_after_us: bound_us / STALE_PART,
+            connect_timeout_us: bound_us,
         }
     }
 }
--- a/components/watch/src/word.rs
+++ b/components/watch/src/word.rs
@@ -4,22 +4,24 @@
 
 /// What a node says of its own calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum WatchNotice {
     /// It is about to ask: others need not ask at the same moment.
-    Asks,
+    #[serde(rename = "Asks")]
+    Querying,
     /// The platform has answered it, and it waits there for changes.
-    Watches,
+    #[serde(rename = "Watches")]
+    Watching,
     /// The platform gave it no answer: another node should try, after a pause.
     Failed,
 }
 
-impl Word {
+impl WatchNotice {
     /// A fixed lower-case name for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Word::Asks => "asks",
-            Word::Watches => "watches",
-            Word::Failed => "failed",
+            WatchNotice::Querying => "asks",
+            WatchNotice::Watching => "watches",
+            WatchNotice::Failed => "failed",
         }
     }
 }
--- a/components/watch/tests/watch/world.rs
+++ b/components/watch/tests/watch/world.rs
@@ -1,7 +1,7 @@
 //! A hall of nodes on one clock, with a platform that answers some of them and whose connections may fall silent.
 
 use names::{Moment, Name, MILLISECOND, SECOND};
-use watch::{Advice, Timing, Watch, Word};
+use watch::{Advice, Timing, Watch, WatchNotice};
 
 /// How often a node looks at its duty.
 const LOOK_US: u64 = 100 * MILLISECOND;
@@ -61,7 +61,7 @@
 struct Said {
     arrives: Moment,
     from: usize,
-    word: Word,
+    word: WatchNotice,
     knows: u64,
     /// When the speaker's version was last known to be the newest.
     as_of: Option<Moment>,
@@ -69,7 +69,7 @@
 
 impl World {
     pub fn new(count: usize, first_start: bool, seed: u64) -> World {
-        let timing = Timing::of(BOUND_US);
+        let timing = Timing::for_bound(BOUND_US);
         let nodes = (0..count).map(|index| {
             let name = Name::from(format!("vm-{index}"));
             let seed = seed * 1_000 + index as u64;
@@ -200,17 +200,17 @@
                 if index == said.from || !node.is_up || !hears {
                     continue;
                 }
-                node.watch.heard(now, &name, said.word);
+                node.watch.on_notice(now, &name, said.word);
                 // Copies take no time here.
                 node.knows = node.knows.max(said.knows);
                 if let Some(as_of) = said.as_of.filter(|_| node.knows == said.knows) {
-                    node.watch.confirmed(as_of);
+                    node.watch.on_confirmed(as_of);
                 }
             }
         }
     }
 
-    fn say(&mut self, index: usize, word: Word) {
+    fn say(&mut self, index: usize, word: WatchNotice) {
         let node = &self.nodes[index];
         let age_us = node.watch.age_us(self.now);
         self.words.push(Said {
@@ -234,7 +234,7 @@
         };
         let open = if is_heard { known } else { 0 };
         let node = &mut self.nodes[index];
-        node.watch.connected(now, known, open);
+        node.watch.on_connections(now, known, open);
         if let Some((began, ends)) = node.call {
             if ends > now {
                 self.speak(index);
@@ -244,22 +244,22 @@
             let word = if node.is_served && !node.is_unanswered {
                 let was_told = node.knows == newest;
                 node.knows = newest;
-                node.watch.confirmed(began);
+                node.watch.on_confirmed(began);
                 let watched = node.watch.is_watching();
                 if !watched || !was_told {
                     // What a watch should have told came by another call: it is begun anew.
-                    node.watch.answered();
+                    node.watch.on_answer();
                     node.watch_ends = now + WATCH_US;
                     node.is_mute = false;
                 }
                 if watched && !was_told {
                     self.calls.push((now, index));
                 }
-                node.word_at = now + node.watch.period_us();
-                Word::Watches
+                node.word_at = now + node.watch.notice_interval_us();
+                WatchNotice::Watching
             } else {
-                node.watch.failed(now);
-                Word::Failed
+                node.watch.on_failure(now);
+                WatchNotice::Failed
             };
             self.say(index, word);
             return;
@@ -268,9 +268,9 @@
             self.keep_watching(index);
         } else if node.look_at <= now {
             node.look_at = now + LOOK_US;
-            if node.watch.advice(now) == Advice::Ask {
-                node.watch.asks();
-                self.say(index, Word::Asks);
+            if node.watch.advice(now) == Advice::Query {
+                node.watch.on_query();
+                self.say(index, WatchNotice::Querying);
                 self.call(index);
             }
         }
@@ -286,17 +286,17 @@
         }
         if !node.is_mute && !node.is_unanswered && node.knows < self.newest {
             node.knows = self.newest;
-            self.say(index, Word::Watches);
+            self.say(index, WatchNotice::Watching);
             self.calls.push((now, index));
             return;
         }
-        if node.watch.confirm_at(now) <= now {
+        if node.watch.next_confirmation(now) <= now {
             self.looks.push(now);
             self.begin(index);
             return;
         }
         if node.watch_ends <= now {
-            if node.watch.renews(now) {
+            if node.watch.keep_watching(now) {
                 node.watch_ends = now + WATCH_US;
                 node.is_mute = false;
                 self.calls.push((now, index));
@@ -311,8 +311,8 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         if node.watch.is_watching() && node.word_at <= now {
-            node.word_at = now + node.watch.period_us();
-            self.say(index, Word::Watches);
+            node.word_at = now + node.watch.notice_interval_us();
+            self.say(index, WatchNotice::Watching);
         }
     }
 
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -11,7 +11,7 @@
 use rollout::{Configuration, Summary};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
-use watch::Word;
+use watch::WatchNotice;
 
 /// Bytes that a frame may have beyond the body it carries.
 pub const MAX_FRAME_OVERHEAD: usize = 64 * 1024;
@@ -203,7 +203,7 @@
     Watch {
         /// What it says.
         #[serde(rename = "w")]
-        word: Word,
+        word: WatchNotice,
         /// What it knows.
         #[serde(rename = "k")]
         summary: Summary,
