--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -5,7 +5,7 @@
 use declarations::Bundle;
 use entry::{Call, Candidate, Entry, Event, Origin, SelectionRule, Treatment};
 use home::{Config, Home, Offer, Verdict};
-use keys::{Begin, Claims, End, KeyHash, Table};
+use keys::{Claims, KeyAction, KeyHash, KeyOutcome, KeyTable};
 use names::{AttemptId, BootId, Moment, Name};
 use policy::{Input, Policy};
 use std::hint::black_box;
@@ -97,19 +97,19 @@
 fn key(c: &mut Criterion) {
     let mut group = c.benchmark_group("begin and end a key, by keys kept");
     for scale in SCALES {
-        let mut table: Table<u64> = Table::new(1_000_000, 256);
+        let mut table: KeyTable<u64> = KeyTable::new(1_000_000, 256);
         let mut claims = Claims::new(1_000_000);
         let vm = Name::from("vm");
         let mut now = Moment(1);
         let mut number = 0_u64;
         let mut step = move || {
             let key = KeyHash::new(&vm, &number.to_string());
-            if table.begin(now, key, now, false) == Begin::Run {
-                table.end(now, key, End::Answered(number));
+            if table.begin(now, key, now, false) == KeyAction::Run {
+                table.end(now, key, KeyOutcome::Answered(number));
             }
             black_box(claims.claim(now, key, &vm, BootId(1)));
             number += 1;
-            now = now + keys::KEY_KEPT_US / (KEYS * scale);
+            now = now + keys::KEY_RETENTION_US / (KEYS * scale);
         };
         for _ in 0..KEYS * scale {
             step();
--- a/components/daemon/src/boot_record.rs
+++ b/components/daemon/src/boot_record.rs
@@ -6,7 +6,7 @@
 use crate::recovery;
 use crate::watching::{rest, LEAST_PAUSE_MS};
 use errors::{Error, Result, Step};
-use keys::{KeyHash, KEY_KEPT_US};
+use keys::{KeyHash, KEY_RETENTION_US};
 use names::{Moment, Name};
 use platform::Write;
 use serde::{Deserialize, Serialize};
@@ -32,13 +32,15 @@
 pub async fn run(node: Rc<Node>) {
     let started = node.now();
     let mut pause = LEAST_PAUSE_MS;
-    node.claims.borrow_mut().uncertain_until(Moment(u64::MAX));
+    node.claims
+        .borrow_mut()
+        .set_uncertain_until(Moment(u64::MAX));
     loop {
         match claim(&node).await {
             Ok(true) => return,
             Ok(false) => {
                 tracing::warn!("the predecessor was not stopped as planned; its keys are unknown");
-                node.unclean_until.set(started + KEY_KEPT_US);
+                node.unclean_until.set(started + KEY_RETENTION_US);
                 certain(&node);
                 recovery::run(node).await;
                 return;
@@ -75,7 +77,7 @@
 pub fn used_keys(node: &Rc<Node>) -> Vec<KeyHash> {
     let keys = node.keys.borrow();
     let claims = node.claims.borrow();
-    let used: HashSet<KeyHash> = keys.hand_over().chain(claims.hand_over()).collect();
+    let used: HashSet<KeyHash> = keys.known_keys().chain(claims.known_keys()).collect();
     used.into_iter().collect()
 }
 
@@ -122,8 +124,8 @@
 /// Takes in what the record of this boot says of its predecessor.
 fn settle(node: &Rc<Node>, record: BootRecord) -> bool {
     let now = node.now();
-    node.keys.borrow_mut().take_over(now, &record.keys);
-    node.claims.borrow_mut().take_over(now, &record.keys);
+    node.keys.borrow_mut().adopt_keys(now, &record.keys);
+    node.claims.borrow_mut().adopt_keys(now, &record.keys);
     if record.known {
         certain(node);
     }
@@ -136,15 +138,17 @@
         return;
     }
     tracing::warn!("the process was paused");
-    node.claims.borrow_mut().uncertain_until(Moment(u64::MAX));
+    node.claims
+        .borrow_mut()
+        .set_uncertain_until(Moment(u64::MAX));
     local::spawn(run_after_pause(node.clone()));
 }
 
 /// This boot is the latest; it knows every key used since it can.
 pub fn certain(node: &Rc<Node>) {
     let mut claims = node.claims.borrow_mut();
-    claims.certain();
-    claims.uncertain_until(node.unclean_until.get());
+    claims.clear_uncertainty();
+    claims.set_uncertain_until(node.unclean_until.get());
 }
 
 /// After a pause this boot may have been replaced: until the platform says that it was not, a key
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -19,7 +19,7 @@
 use entry::{Origin, Outcome, Price, Treatment};
 use futures_util::FutureExt;
 use home::{Reason, Refusal};
-use keys::KEY_DEADLINE_US;
+use keys::MAX_KEY_DEADLINE_US;
 use names::{Moment, Name, MILLISECOND};
 use policy::Input;
 use quarantine::Verdict;
@@ -463,7 +463,7 @@
     req: Arc<Request>,
     deadline: Moment,
 ) -> RelayOutcome {
-    let deadline = deadline.min(node.now() + KEY_DEADLINE_US);
+    let deadline = deadline.min(node.now() + MAX_KEY_DEADLINE_US);
     let relay = Relay {
         remaining_us: deadline.since(node.now()),
         waited_us: node.paused_for(),
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -14,7 +14,8 @@
 use futures_util::future::join_all;
 use home::Reason;
 use keys::{
-    combine, ranked, Begin, ClaimReply, End, KeyHash, Standing, KEY_DEADLINE_US, KEY_KEPT_US,
+    combine_replies, ranked, ClaimReply, CoordinatorView, KeyAction, KeyHash, KeyOutcome,
+    KEY_RETENTION_US, MAX_KEY_DEADLINE_US,
 };
 use names::{AttemptId, BootId, Moment, Name};
 use rollout::InForce;
@@ -45,11 +46,11 @@
     if node.was_paused() {
         boot_record::paused(node);
     }
-    let standing = Standing {
-        me: node.cfg.vm.clone(),
+    let standing = CoordinatorView {
+        own_vm: node.cfg.vm.clone(),
         members: node.members_within_window(&relay.req.service, &ranking),
         ranking,
-        uncertain: node.claims.borrow().is_uncertain(node.now()),
+        is_uncertain: node.claims.borrow().is_uncertain(node.now()),
     };
     let work = Work {
         node,
@@ -92,7 +93,7 @@
             .map_or(&[][..], |service| after.declarations.upstreams(service));
         if old != new {
             let groups = moved.entry(service.name.clone()).or_default();
-            groups.retain(|(at, _)| now.since(*at) <= KEY_KEPT_US);
+            groups.retain(|(at, _)| now.since(*at) <= KEY_RETENTION_US);
             groups.push((now, old.to_vec()));
         }
     }
@@ -146,7 +147,7 @@
     let by = node.boot;
     for vm in members {
         if *vm == node.cfg.vm {
-            node.claims.borrow_mut().released(key, by);
+            node.claims.borrow_mut().release(key, by);
         } else {
             links::send(node, vm, &Frame::Release { by, key });
         }
@@ -158,7 +159,7 @@
     node: &'a Rc<Node>,
     in_force: &'a InForce,
     key: KeyHash,
-    standing: Standing,
+    standing: CoordinatorView,
     received: Moment,
     deadline: Moment,
     relay: Relay,
@@ -172,23 +173,23 @@
         let sent = self.received - self.relay.waited_us;
         let begin = node.keys.borrow_mut().begin(now, self.key, sent, claim);
         match begin {
-            Begin::Run => self.run_first(false).await,
-            Begin::Claim => match self.claim_all().await {
+            KeyAction::Run => self.run_first(false).await,
+            KeyAction::Claim => match self.claim_all().await {
                 ClaimReply::Granted => self.run_first(true).await,
                 ClaimReply::Answered(answer) => self.end(RelayOutcome::Answered(answer)),
                 _ => self.end(RelayOutcome::Unknown(Reason::KeyUsed)),
             },
-            Begin::Join => self.join().await,
-            Begin::Replay(answer) => RelayOutcome::Answered(answer),
-            Begin::Unknown => RelayOutcome::Unknown(Reason::KeyUsed),
-            Begin::Full => RelayOutcome::Unknown(Reason::Busy),
+            KeyAction::Join => self.join().await,
+            KeyAction::Replay(answer) => RelayOutcome::Answered(answer),
+            KeyAction::Unknown => RelayOutcome::Unknown(Reason::KeyUsed),
+            KeyAction::Full => RelayOutcome::Unknown(Reason::Busy),
         }
     }
 
     /// Asks every node that may have run the key; the key is ours when all grant it.
     async fn claim_all(&self) -> ClaimReply<Whole> {
-        let asked = self.standing.asked().map(|vm| self.claim_one(vm));
-        let reply = combine(join_all(asked).await);
+        let asked = self.standing.claim_targets().map(|vm| self.claim_one(vm));
+        let reply = combine_replies(join_all(asked).await);
         if reply != ClaimReply::Granted {
             release(self.node, self.key, &self.standing.members);
         }
@@ -248,8 +249,8 @@
         let key = self.key;
         let members = self.standing.members.clone();
         local::spawn(async move {
-            task::sleep(Duration::from_micros(KEY_DEADLINE_US)).await;
-            if !node.keys.borrow().knows(key) {
+            task::sleep(Duration::from_micros(MAX_KEY_DEADLINE_US)).await;
+            if !node.keys.borrow().contains(key) {
                 release(&node, key, &members);
             }
         });
@@ -268,9 +269,9 @@
     fn end(&self, outcome: RelayOutcome) -> RelayOutcome {
         let node = self.node;
         let end = match &outcome {
-            RelayOutcome::Answered(answer) => End::Answered(answer.clone()),
-            RelayOutcome::NotRun(_) => End::NotRun,
-            RelayOutcome::Unknown(_) => End::Unknown,
+            RelayOutcome::Answered(answer) => KeyOutcome::Answered(answer.clone()),
+            RelayOutcome::NotRun(_) => KeyOutcome::NotRun,
+            RelayOutcome::Unknown(_) => KeyOutcome::Unknown,
         };
         let now = node.now();
         node.keys.borrow_mut().end(now, self.key, end);
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -451,7 +451,7 @@
         job.clone()
     };
     if let Some(key) = job.key {
-        node.claims.borrow_mut().started(key, id);
+        node.claims.borrow_mut().attempt_started(key, id);
     }
     let node = node.clone();
     local::spawn(async move {
@@ -476,7 +476,7 @@
     if matches!(verdict, Verdict::Shed | Verdict::NotSent) {
         let jobs = node.jobs.borrow();
         if let Some(key) = jobs.get(&id).and_then(|job| job.key) {
-            node.claims.borrow_mut().not_run(key, id);
+            node.claims.borrow_mut().attempt_not_run(key, id);
         }
     }
     let req = node.jobs.borrow().get(&id).map(|job| job.req.clone());
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -29,7 +29,7 @@
             keys,
             uncertain_us,
         } => recovery::answered(node, id, keys.map(|keys| (keys, uncertain_us))),
-        Frame::Release { by, key } => node.claims.borrow_mut().released(key, by),
+        Frame::Release { by, key } => node.claims.borrow_mut().release(key, by),
         Frame::Ask { id, boot } => home_driver::ask(node, id, boot, reply.clone()),
         Frame::Cancel { id } => home_driver::cancel(node, id),
         Frame::Heartbeat => reply.send(node, Frame::Alive { load: node.load() }),
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -18,7 +18,7 @@
 use entry::{Candidate, Entry, RetryBudgetConfig, SelectionRule, WeightedRoundRobin};
 use evacuation::Evacuated;
 use home::{Home, Load};
-use keys::{ClaimReply, Claims, KeyHash, Table, KEY_KEPT_US};
+use keys::{ClaimReply, Claims, KeyHash, KeyTable, KEY_RETENTION_US};
 use membership::View;
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND};
 use platform::{Adapter, Client};
@@ -107,7 +107,7 @@
     /// Connections from other nodes.
     pub incoming: RefCell<HashMap<u64, Reply>>,
     /// Idempotency keys this node coordinates.
-    pub keys: RefCell<Table<Whole>>,
+    pub keys: RefCell<KeyTable<Whole>>,
     /// Idempotency keys granted or run at the upstream beside this node.
     pub claims: RefCell<Claims>,
     /// Relays that wait for the same key.
@@ -206,7 +206,7 @@
             next_question: Cell::new(0),
             links: RefCell::default(),
             incoming: RefCell::default(),
-            keys: RefCell::new(Table::new(MAX_KEYS, MAX_KEY_ANSWERS)),
+            keys: RefCell::new(KeyTable::new(MAX_KEYS, MAX_KEY_ANSWERS)),
             claims: RefCell::new(Claims::new(MAX_KEYS)),
             key_waiters: RefCell::default(),
             gate: RefCell::new(Gate::new(clock.now())),
@@ -430,7 +430,7 @@
         let mut members = current.to_vec();
         let moved = self.moved.borrow();
         for (at, before) in moved.get(service).into_iter().flatten() {
-            if now.since(*at) > KEY_KEPT_US {
+            if now.since(*at) > KEY_RETENTION_US {
                 continue;
             }
             for vm in before {
--- a/components/daemon/src/recovery.rs
+++ b/components/daemon/src/recovery.rs
@@ -12,7 +12,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use futures_util::future::join_all;
-use keys::KEY_KEPT_US;
+use keys::KEY_RETENTION_US;
 use names::{AttemptId, Name, SECOND};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -29,8 +29,8 @@
     while node.now() < node.unclean_until.get() {
         if let Some((keys, uncertain_us)) = round(&node).await {
             let now = node.now();
-            node.keys.borrow_mut().take_over(now, &keys);
-            node.claims.borrow_mut().take_over(now, &keys);
+            node.keys.borrow_mut().adopt_keys(now, &keys);
+            node.claims.borrow_mut().adopt_keys(now, &keys);
             let until = node.unclean_until.get().min(now + uncertain_us);
             node.unclean_until.set(until);
             if !node.checking_pause.get() {
@@ -54,9 +54,9 @@
         crate::boot_record::paused(node);
     }
     let now = node.now();
-    let latest = node.claims.borrow_mut().replaced(from, id.boot);
-    let uncertain_us = node.claims.borrow().uncertain_for(now);
-    let sure = latest && uncertain_us <= KEY_KEPT_US;
+    let latest = node.claims.borrow_mut().register_boot(from, id.boot);
+    let uncertain_us = node.claims.borrow().uncertain_for_us(now);
+    let sure = latest && uncertain_us <= KEY_RETENTION_US;
     let keys = sure.then(|| used_keys(node));
     reply.send(
         node,
--- a/components/keys/src/claims.rs
+++ b/components/keys/src/claims.rs
@@ -1,6 +1,6 @@
 //! The record of keys at the node beside an upstream: who may run a key here, and whether it ran.
 
-use crate::table::{KeyHash, KEY_KEPT_US};
+use crate::table::{KeyHash, KEY_RETENTION_US};
 use names::{AttemptId, BootId, Moment, Name};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -53,7 +53,7 @@
     /// A new boot of `vm` asks what its predecessor did. From now on no other boot of the VM gets
     /// a key here, so what is on its way from the predecessor can't run any more. Returns false
     /// when this boot was itself replaced.
-    pub fn replaced(&mut self, vm: &Name, boot: BootId) -> bool {
+    pub fn register_boot(&mut self, vm: &Name, boot: BootId) -> bool {
         if self.barred.contains(&boot) {
             return false;
         }
@@ -66,12 +66,12 @@
     }
 
     /// Until `moment`, a key without a record may have run here or been granted to anyone.
-    pub fn uncertain_until(&mut self, moment: Moment) {
+    pub fn set_uncertain_until(&mut self, moment: Moment) {
         self.uncertain_until = self.uncertain_until.max(moment);
     }
 
     /// Ends the uncertainty: this boot's knowledge is whole.
-    pub fn certain(&mut self) {
+    pub fn clear_uncertainty(&mut self) {
         self.uncertain_until = Moment(0);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// For how long from now a key without a record may have been used, in microseconds.
-    pub fn uncertain_for(&self, now: Moment) -> u64 {
+    pub fn uncertain_for_us(&self, now: Moment) -> u64 {
         self.uncertain_until.since(now)
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// The attempt starts.
-    pub fn started(&mut self, key: KeyHash, id: AttemptId) {
+    pub fn attempt_started(&mut self, key: KeyHash, id: AttemptId) {
         let before = self.states.insert(key, State::Ran(Some(id)));
         assert_eq!(
             before,
@@ -120,26 +120,26 @@
     }
 
     /// The attempt that started turned out not to have run.
-    pub fn not_run(&mut self, key: KeyHash, id: AttemptId) {
+    pub fn attempt_not_run(&mut self, key: KeyHash, id: AttemptId) {
         if self.states.get(&key) == Some(&State::Ran(Some(id))) {
             self.states.insert(key, State::Granted(id.boot));
         }
     }
 
     /// The coordinator gives the key back, not run.
-    pub fn released(&mut self, key: KeyHash, by: BootId) {
+    pub fn release(&mut self, key: KeyHash, by: BootId) {
         if self.states.get(&key) == Some(&State::Granted(by)) {
             self.states.remove(&key);
         }
     }
 
     /// The keys on record, for the successor of this node.
-    pub fn hand_over(&self) -> impl Iterator<Item = KeyHash> + '_ {
+    pub fn known_keys(&self) -> impl Iterator<Item = KeyHash> + '_ {
         self.states.keys().copied()
     }
 
     /// Takes in keys of a predecessor: they ran, or may have run.
-    pub fn take_over(&mut self, now: Moment, keys: &[KeyHash]) {
+    pub fn adopt_keys(&mut self, now: Moment, keys: &[KeyHash]) {
         for key in keys {
             if self.states.insert(*key, State::Ran(None)).is_none() {
                 self.order.push_back((now, *key));
@@ -168,7 +168,7 @@
 
     fn forget(&mut self, now: Moment) {
         while let Some((at, key)) = self.order.front().copied() {
-            if now.since(at) <= KEY_KEPT_US {
+            if now.since(at) <= KEY_RETENTION_US {
                 return;
             }
             self.order.pop_front();
--- a/components/keys/src/lib.rs
+++ b/components/keys/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each key of a service has a coordinator, the first in a ranking of the service's declared
 //! upstreams by rendezvous hashing: its node makes the attempts and remembers the key
-//! ([`Table`]). A coordinator never runs its own keys on its own upstream, and the node beside the
+//! ([`KeyTable`]). A coordinator never runs its own keys on its own upstream, and the node beside the
 //! upstream that does run one remembers it too ([`Claims`]), so the failure of one VM loses no key.
 //! While the first in the ranking can't be reached, the next may act, once every other upstream's
 //! node has granted it the key. See `docs/DESIGN.md`.
@@ -14,5 +14,7 @@
 
 pub use claims::{ClaimReply, Claims};
 pub use rank::ranked;
-pub use standing::{combine, Standing};
-pub use table::{Begin, End, KeyHash, Table, KEY_DEADLINE_US, KEY_KEPT_US, KEY_WINDOW_US};
+pub use standing::{combine_replies, CoordinatorView};
+pub use table::{
+    KeyAction, KeyHash, KeyOutcome, KeyTable, KEY_RETENTION_US, KEY_WINDOW_US, MAX_KEY_DEADLINE_US,
+};
--- a/components/keys/src/standing.rs
+++ b/components/keys/src/standing.rs
@@ -5,28 +5,28 @@
 
 /// One node's standing to one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct CoordinatorView {
     /// The node's own VM.
-    pub me: Name,
+    pub own_vm: Name,
     /// The service's upstreams in the key's ranking.
     pub ranking: Vec<Name>,
     /// Every upstream that was in the service's group within the key window.
     pub members: Vec<Name>,
     /// Whether this boot may not know all that was done in its VM's name.
-    pub uncertain: bool,
+    pub is_uncertain: bool,
 }
 
-impl Standing {
+impl CoordinatorView {
     /// The first in the ranking may run a key it has no record of, if it has been first all along
     /// and knows all that it did. Anyone else must claim the key.
     pub fn must_claim(&self) -> bool {
-        let first = self.ranking.first() == Some(&self.me);
-        !first || self.has_moved() || self.uncertain
+        let first = self.ranking.first() == Some(&self.own_vm);
+        !first || self.has_moved() || self.is_uncertain
     }
 
     /// The VMs whose nodes must grant the key. The first in the ranking never runs the key on its
     /// own upstream, so it is spared.
-    pub fn asked(&self) -> impl Iterator<Item = &Name> {
+    pub fn claim_targets(&self) -> impl Iterator<Item = &Name> {
         let spared = self.spared().filter(|_| !self.has_moved());
         self.members.iter().filter(move |vm| Some(*vm) != spared)
     }
@@ -34,7 +34,7 @@
     /// Whether the key may run at the upstream of `vm`: not at the own, so that a run is always
     /// known to two nodes. In a group of one there is no other.
     pub fn may_run_at(&self, vm: &Name) -> bool {
-        *vm != self.me || self.ranking.len() == 1
+        *vm != self.own_vm || self.ranking.len() == 1
     }
 
     fn has_moved(&self) -> bool {
@@ -48,7 +48,7 @@
 }
 
 /// What several answers to a claim amount to: granted only if every node granted it.
-pub fn combine<A>(replies: impl IntoIterator<Item = ClaimReply<A>>) -> ClaimReply<A> {
+pub fn combine_replies<A>(replies: impl IntoIterator<Item = ClaimReply<A>>) -> ClaimReply<A> {
     let mut whole = ClaimReply::Granted;
     for reply in replies {
         match reply {
--- a/components/keys/src/table.rs
+++ b/components/keys/src/table.rs
@@ -11,9 +11,9 @@
 pub const KEY_WINDOW_US: u64 = 120 * SECOND;
 /// Longest deadline of a request that carries a key, in microseconds: a repeat at the end of the
 /// window may be at work for so long.
-pub const KEY_DEADLINE_US: u64 = 30 * SECOND;
+pub const MAX_KEY_DEADLINE_US: u64 = 30 * SECOND;
 /// How long records of a key are kept, in microseconds.
-pub const KEY_KEPT_US: u64 = KEY_WINDOW_US + KEY_DEADLINE_US;
+pub const KEY_RETENTION_US: u64 = KEY_WINDOW_US + MAX_KEY_DEADLINE_US;
 
 /// A key within its service, hashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -35,10 +35,10 @@
 
 /// What the coordinator has to do with a request that carries a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begin<A> {
-    /// First use: run it, then call [`Table::end`].
+pub enum KeyAction<A> {
+    /// First use: run it, then call [`KeyTable::end`].
     Run,
-    /// First use here: have every other node grant the key, run it, then call [`Table::end`].
+    /// First use here: have every other node grant the key, run it, then call [`KeyTable::end`].
     Claim,
     /// The same key is running: wait for its end.
     Join,
@@ -52,7 +52,7 @@
 
 /// How a request with a key ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End<A> {
+pub enum KeyOutcome<A> {
     /// It ran and has a whole answer.
     Answered(A),
     /// It was not run: the key is free again.
@@ -70,7 +70,7 @@
 
 /// Records of the keys that one node coordinates.
 #[derive(Debug)]
-pub struct Table<A> {
+pub struct KeyTable<A> {
     states: HashMap<KeyHash, State<A>>,
     ended: VecDeque<(Moment, KeyHash)>,
     answers: VecDeque<KeyHash>,
@@ -81,10 +81,10 @@
     max_answers: usize,
 }
 
-impl<A: Clone> Table<A> {
+impl<A: Clone> KeyTable<A> {
     /// A table of at most `max_keys` records, with whole answers for the last `max_answers`.
-    pub fn new(max_keys: usize, max_answers: usize) -> Table<A> {
-        Table {
+    pub fn new(max_keys: usize, max_answers: usize) -> KeyTable<A> {
+        KeyTable {
             states: HashMap::new(),
             ended: VecDeque::new(),
             answers: VecDeque::new(),
@@ -98,45 +98,45 @@
     /// Takes in a request that carries a key and was sent at `sent`, on this process's clock: one
     /// sent before a later try was told not-run must not run any more. `claim` says that this node is not the first in the
     /// key's ranking, or doesn't know all that it was when it was first.
-    pub fn begin(&mut self, now: Moment, key: KeyHash, sent: Moment, claim: bool) -> Begin<A> {
+    pub fn begin(&mut self, now: Moment, key: KeyHash, sent: Moment, claim: bool) -> KeyAction<A> {
         self.forget(now);
         if self.refused.get(&key).is_some_and(|told| sent <= *told) {
-            return Begin::Unknown;
+            return KeyAction::Unknown;
         }
         match self.states.get(&key) {
-            Some(State::Running) => return Begin::Join,
-            Some(State::Answered(Some(answer))) => return Begin::Replay(answer.clone()),
-            Some(State::Answered(None)) | Some(State::Unknown) => return Begin::Unknown,
+            Some(State::Running) => return KeyAction::Join,
+            Some(State::Answered(Some(answer))) => return KeyAction::Replay(answer.clone()),
+            Some(State::Answered(None)) | Some(State::Unknown) => return KeyAction::Unknown,
             None => {}
         }
         if self.states.len() >= self.max_keys {
-            return Begin::Full;
+            return KeyAction::Full;
         }
         self.states.insert(key, State::Running);
         if claim {
-            Begin::Claim
+            KeyAction::Claim
         } else {
-            Begin::Run
+            KeyAction::Run
         }
     }
 
-    /// Takes in the end of a request for which [`Table::begin`] said run.
-    pub fn end(&mut self, now: Moment, key: KeyHash, end: End<A>) {
+    /// Takes in the end of a request for which [`KeyTable::begin`] said run.
+    pub fn end(&mut self, now: Moment, key: KeyHash, end: KeyOutcome<A>) {
         let running = matches!(self.states.get(&key), Some(State::Running));
         assert!(running, "a key ended that was not running");
         match end {
-            End::NotRun => {
+            KeyOutcome::NotRun => {
                 self.states.remove(&key);
                 self.refused.insert(key, now);
                 self.refusals.push_back((now, key));
             }
-            End::Answered(answer) => {
+            KeyOutcome::Answered(answer) => {
                 self.states.insert(key, State::Answered(Some(answer)));
                 self.answers.push_back(key);
                 self.ended.push_back((now, key));
                 self.drop_answers();
             }
-            End::Unknown => {
+            KeyOutcome::Unknown => {
                 self.states.insert(key, State::Unknown);
                 self.ended.push_back((now, key));
             }
@@ -144,12 +144,12 @@
     }
 
     /// The keys in use or used, for the successor of this node.
-    pub fn hand_over(&self) -> impl Iterator<Item = KeyHash> + '_ {
+    pub fn known_keys(&self) -> impl Iterator<Item = KeyHash> + '_ {
         self.states.keys().copied()
     }
 
     /// Takes in the keys that a predecessor handed over: they ran, or may have run.
-    pub fn take_over(&mut self, now: Moment, keys: &[KeyHash]) {
+    pub fn adopt_keys(&mut self, now: Moment, keys: &[KeyHash]) {
         for key in keys {
             if let Entry::Vacant(slot) = self.states.entry(*key) {
                 slot.insert(State::Unknown);
@@ -159,7 +159,7 @@
     }
 
     /// Whether the key is on record.
-    pub fn knows(&self, key: KeyHash) -> bool {
+    pub fn contains(&self, key: KeyHash) -> bool {
         self.states.contains_key(&key)
     }
 
@@ -187,7 +187,7 @@
     fn forget(&mut self, now: Moment) {
         self.forget_refusals(now);
         while let Some((at, key)) = self.ended.front().copied() {
-            if now.since(at) <= KEY_KEPT_US {
+            if now.since(at) <= KEY_RETENTION_US {
                 return;
             }
             self.ended.pop_front();
@@ -197,7 +197,7 @@
 
     fn forget_refusals(&mut self, now: Moment) {
         while let Some((at, key)) = self.refusals.front().copied() {
-            if now.since(at) <= KEY_DEADLINE_US {
+            if now.since(at) <= MAX_KEY_DEADLINE_US {
                 return;
             }
             self.refusals.pop_front();
--- a/components/keys/tests/keys/world/mod.rs
+++ b/components/keys/tests/keys/world/mod.rs
@@ -3,7 +3,9 @@
 
 mod protocol;
 
-use keys::{ranked, ClaimReply, Claims, KeyHash, Standing, Table, KEY_KEPT_US, KEY_WINDOW_US};
+use keys::{
+    ranked, ClaimReply, Claims, CoordinatorView, KeyHash, KeyTable, KEY_RETENTION_US, KEY_WINDOW_US,
+};
 use names::{AttemptId, BootId, Moment, Name, SECOND};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -85,7 +87,7 @@
 struct Node {
     vm: usize,
     boot: BootId,
-    table: Table<Key>,
+    table: KeyTable<Key>,
     claims: Claims,
     works: BTreeMap<Key, Work>,
     ran: HashMap<AttemptId, Key>,
@@ -223,12 +225,12 @@
         if node.paused || !node.works.is_empty() || !known {
             return;
         }
-        let mut keys: Vec<KeyHash> = node.table.hand_over().collect();
-        keys.extend(node.claims.hand_over());
+        let mut keys: Vec<KeyHash> = node.table.known_keys().collect();
+        keys.extend(node.claims.known_keys());
         self.nodes.remove(index);
         let mut successor = self.node(vm);
-        successor.table.take_over(self.now, &keys);
-        successor.claims.take_over(self.now, &keys);
+        successor.table.adopt_keys(self.now, &keys);
+        successor.claims.adopt_keys(self.now, &keys);
         self.nodes.push(successor);
     }
 
@@ -247,7 +249,7 @@
             let node = &mut self.nodes[*index];
             node.paused = false;
             node.thawed = true;
-            node.claims.uncertain_until(Moment(u64::MAX));
+            node.claims.set_uncertain_until(Moment(u64::MAX));
         }
     }
 
@@ -257,8 +259,8 @@
         let node = &mut self.nodes[index];
         if !node.paused {
             node.thawed = false;
-            node.claims.certain();
-            node.claims.uncertain_until(node.unclean_until);
+            node.claims.clear_uncertainty();
+            node.claims.set_uncertain_until(node.unclean_until);
         }
     }
 
@@ -302,7 +304,8 @@
         self.releases = later;
         for (_, boot, key) in due {
             let index = self.nodes.iter().position(|node| node.boot == boot);
-            if let Some(index) = index.filter(|index| !self.nodes[*index].table.knows(hash(key))) {
+            if let Some(index) = index.filter(|index| !self.nodes[*index].table.contains(hash(key)))
+            {
                 self.release(index, key);
             }
         }
@@ -326,7 +329,7 @@
         Node {
             vm,
             boot: BootId(self.next_boot),
-            table: Table::new(100, 2),
+            table: KeyTable::new(100, 2),
             claims: Claims::new(100),
             works: BTreeMap::new(),
             ran: HashMap::new(),
@@ -341,8 +344,10 @@
 
     fn replace(&mut self, vm: usize) {
         let mut successor = self.node(vm);
-        successor.unclean_until = self.now + KEY_KEPT_US;
-        successor.claims.uncertain_until(successor.unclean_until);
+        successor.unclean_until = self.now + KEY_RETENTION_US;
+        successor
+            .claims
+            .set_uncertain_until(successor.unclean_until);
         self.nodes.push(successor);
     }
 
@@ -368,13 +373,13 @@
             .collect()
     }
 
-    fn standing(&self, index: usize, key: Key) -> Standing {
+    fn standing(&self, index: usize, key: Key) -> CoordinatorView {
         let node = &self.nodes[index];
-        Standing {
-            me: name(node.vm),
+        CoordinatorView {
+            own_vm: name(node.vm),
             ranking: ranked(&"s".into(), &key.to_string(), &self.names()),
             members: self.names(),
-            uncertain: node.claims.is_uncertain(self.now),
+            is_uncertain: node.claims.is_uncertain(self.now),
         }
     }
 
--- a/components/keys/tests/keys/world/protocol.rs
+++ b/components/keys/tests/keys/world/protocol.rs
@@ -2,7 +2,10 @@
 
 use super::DEADLINE_US;
 use super::{hash, index_of, name, Body, Key, Message, OfferReply, Outcome, Request, Work, World};
-use keys::{combine, Begin, ClaimReply, End, KeyHash, Standing, KEY_DEADLINE_US, KEY_KEPT_US};
+use keys::{
+    combine_replies, ClaimReply, CoordinatorView, KeyAction, KeyHash, KeyOutcome, KEY_RETENTION_US,
+    MAX_KEY_DEADLINE_US,
+};
 use names::{AttemptId, BootId, Moment, Name};
 
 impl World {
@@ -45,7 +48,7 @@
                 );
             }
             Body::Offered { key, from, reply } => self.offer_ended(index, key, from, reply),
-            Body::Release { key } => self.nodes[index].claims.released(hash(key), from),
+            Body::Release { key } => self.nodes[index].claims.release(hash(key), from),
             Body::Recover => self.asked_to_recover(index, from),
             Body::Recovered { from, keys: known } => self.recovered(index, from, known),
         }
@@ -95,20 +98,20 @@
             .table
             .begin(now, hash(key), sent, standing.must_claim())
         {
-            Begin::Join => {
+            KeyAction::Join => {
                 let work = node.works.get_mut(&key).expect("a running key has work");
                 work.requests.push(request);
             }
-            Begin::Replay(answer) => {
+            KeyAction::Replay(answer) => {
                 assert_eq!(answer, key, "the answer of another key");
                 self.tell(request, Outcome::Answered);
             }
-            Begin::Unknown | Begin::Full => self.tell(request, Outcome::Unknown),
-            Begin::Run => {
+            KeyAction::Unknown | KeyAction::Full => self.tell(request, Outcome::Unknown),
+            KeyAction::Run => {
                 self.start_work(index, key, request, &standing, false);
                 self.offer_next(index, key);
             }
-            Begin::Claim => {
+            KeyAction::Claim => {
                 self.start_work(index, key, request, &standing, true);
                 self.claim_all(index, key, &standing);
             }
@@ -121,11 +124,11 @@
             return;
         };
         let node = &mut self.nodes[index];
-        let latest = node.claims.replaced(&name(vm), from);
-        let mut keys: Vec<KeyHash> = node.table.hand_over().collect();
-        keys.extend(node.claims.hand_over());
-        let uncertain_us = node.claims.uncertain_for(now);
-        let sure = latest && uncertain_us <= KEY_KEPT_US;
+        let latest = node.claims.register_boot(&name(vm), from);
+        let mut keys: Vec<KeyHash> = node.table.known_keys().collect();
+        keys.extend(node.claims.known_keys());
+        let uncertain_us = node.claims.uncertain_for_us(now);
+        let sure = latest && uncertain_us <= KEY_RETENTION_US;
         let body = Body::Recovered {
             from: node.vm,
             keys: sure.then_some((keys, uncertain_us)),
@@ -149,13 +152,13 @@
         if !waiting.is_empty() {
             return;
         }
-        node.table.take_over(now, learned);
-        node.claims.take_over(now, learned);
+        node.table.adopt_keys(now, learned);
+        node.claims.adopt_keys(now, learned);
         node.unclean_until = node.unclean_until.min(*until);
         node.recovering = None;
         if !node.thawed {
-            node.claims.certain();
-            node.claims.uncertain_until(node.unclean_until);
+            node.claims.clear_uncertainty();
+            node.claims.set_uncertain_until(node.unclean_until);
         }
     }
 
@@ -164,7 +167,7 @@
         index: usize,
         key: Key,
         request: usize,
-        standing: &Standing,
+        standing: &CoordinatorView,
         claimed: bool,
     ) {
         let mut candidates: Vec<usize> = standing
@@ -187,8 +190,8 @@
         self.nodes[index].works.insert(key, work);
     }
 
-    fn claim_all(&mut self, index: usize, key: Key, standing: &Standing) {
-        let asked: Vec<usize> = standing.asked().map(index_of).collect();
+    fn claim_all(&mut self, index: usize, key: Key, standing: &CoordinatorView) {
+        let asked: Vec<usize> = standing.claim_targets().map(index_of).collect();
         let (me, boot) = (self.nodes[index].vm, self.nodes[index].boot);
         let work = self.nodes[index].works.get_mut(&key).expect("just made");
         work.waiting = asked.clone();
@@ -230,7 +233,7 @@
         if !work.waiting.is_empty() {
             return;
         }
-        match combine(work.replies.drain(..)) {
+        match combine_replies(work.replies.drain(..)) {
             ClaimReply::Granted => self.offer_next(index, key),
             ClaimReply::Answered(answer) => {
                 assert_eq!(answer, key, "the answer of another key");
@@ -255,7 +258,7 @@
                 Outcome::Unknown
             };
             if claimed && contacted {
-                let due = self.now + KEY_DEADLINE_US;
+                let due = self.now + MAX_KEY_DEADLINE_US;
                 let boot = self.nodes[index].boot;
                 self.releases.push((due, boot, key));
             }
@@ -279,7 +282,7 @@
         match node.claims.claim(now, hash(key), &vm, id.boot).0 {
             ClaimReply::Granted if busy => OfferReply::Busy,
             ClaimReply::Granted => {
-                node.claims.started(hash(key), id);
+                node.claims.attempt_started(hash(key), id);
                 node.ran.insert(id, key);
                 self.ran(key);
                 OfferReply::Ran
@@ -322,7 +325,7 @@
         let (me, boot) = (self.nodes[index].vm, self.nodes[index].boot);
         for vm in 0..self.vms {
             if vm == me {
-                self.nodes[index].claims.released(hash(key), boot);
+                self.nodes[index].claims.release(hash(key), boot);
             } else {
                 let to = self.latest(vm).boot;
                 self.send(boot, to, Body::Release { key });
@@ -336,9 +339,9 @@
             return;
         };
         let end = match outcome {
-            Outcome::Answered => End::Answered(key),
-            Outcome::NotRun => End::NotRun,
-            Outcome::Unknown => End::Unknown,
+            Outcome::Answered => KeyOutcome::Answered(key),
+            Outcome::NotRun => KeyOutcome::NotRun,
+            Outcome::Unknown => KeyOutcome::Unknown,
         };
         self.nodes[index].table.end(now, hash(key), end);
         for request in work.requests {
