--- a/components/home/src/attempt.rs
+++ b/components/home/src/attempt.rs
@@ -1,37 +1,37 @@
-//! The life of an attempt as typestate: only a queued or offered attempt can start, and one that
-//! was refused or revoked no longer exists as a value that could.
+//! The life cycle of an attempt as typestate: only an offered or queued attempt can start, and one
+//! that was refused or revoked no longer exists as a value.
 
 use crate::limit::Class;
 use crate::Offer;
 use names::{AttemptId, Moment, Name, MILLISECOND};
 
-/// Part of the objective that an attempt waits for a slot: a service that is short of slots serves more
-/// requests in time if it refuses early. Measured against 0.12, 0.4, and all that a run leaves: 0.02 to
-/// 0.06 of worth on days of high load.
-const PATIENCE_PART: f64 = 0.22;
+/// Fraction of its objective that an attempt waits for a slot. A service that is short of slots answers
+/// more requests in time if it refuses early: with 0.12, 0.4 or all time but that of one run, the value
+/// of answers is 0.02 to 0.06 lower under high load.
+const MAX_WAIT_FRACTION: f64 = 0.22;
 
-/// An attempt that can't be answered within its objective any more waits for so long, in microseconds: the time in which
-/// the upstream says whether it may start at once.
+/// How long an attempt waits that can't be answered within its objective any more, in microseconds:
+/// enough for a probe that finds out whether it can start immediately.
 const OVERDUE_WAIT_US: u64 = 20 * MILLISECOND;
 
-/// State of an attempt that has just arrived.
+/// State of an attempt that has arrived and is not admitted yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offered;
 
 /// State of an attempt that waits for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Queued {
-    /// When it entered the queue.
+    /// When the attempt entered the queue.
     pub at: Moment,
 }
 
 /// State of an attempt that occupies a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Started {
-    /// When it took the slot.
+    /// When the attempt took the slot.
     pub at: Moment,
-    /// How long work took at the upstream then, by its own word, in hundredths of the usual; 0 when
-    /// there was no word.
+    /// Service time that the upstream reported at that time, in percent of the typical one; 0 without
+    /// a report.
     pub slow_percent: u32,
 }
 
@@ -52,7 +52,6 @@
 }
 
 impl<S> Attempt<S> {
-    /// Identity of the attempt.
     pub fn id(&self) -> AttemptId {
         self.id
     }
@@ -67,13 +66,13 @@
         self.latest_start
     }
 
-    /// The same attempt, refused if it still waits at `at`.
+    /// Lowers the latest start to `at`.
     pub fn with_latest_start(mut self, at: Moment) -> Attempt<S> {
         self.latest_start = self.latest_start.min(at);
         self
     }
 
-    /// Until when an answer has its full worth; none: until the deadline.
+    /// Until when an answer has its full value; none: until the deadline.
     pub fn objective(&self) -> Option<Moment> {
         self.objective
     }
@@ -83,38 +82,37 @@
         self.priority
     }
 
-    /// The class of its service time.
+    /// The class by which service times are grouped.
     pub fn class(&self) -> Class {
         self.class
     }
 
-    /// Whether it can't be answered within its objective any more.
+    /// Whether the attempt can't be answered within its objective any more.
     pub fn is_overdue(&self) -> bool {
         self.is_overdue
     }
 
-    /// The client account in whose share it runs.
+    /// The client account whose share of the slots the attempt uses.
     pub fn account(&self) -> &Option<Name> {
         &self.account
     }
 
-    /// Whether it may wait for a slot.
+    /// Whether the attempt may wait for a slot.
     pub fn may_queue(&self) -> bool {
         self.may_queue
     }
 
-    /// Whether the entry duty is told when the run takes much longer than usual. Never so for a request that may run
-    /// only once, or under which an upstream has ended.
+    /// Whether the entry duty gets a report when the run takes much longer than typical. Never for a
+    /// request that may run only once, or during which an upstream has terminated.
     pub fn reports_straggler(&self) -> bool {
         self.reports_straggler
     }
 
-    /// The state's own data.
     pub fn state(&self) -> &S {
         &self.state
     }
 
-    fn with<T>(self, state: T) -> Attempt<T> {
+    fn with_state<T>(self, state: T) -> Attempt<T> {
         Attempt {
             id: self.id,
             deadline: self.deadline,
@@ -132,16 +130,16 @@
 }
 
 impl Attempt<Offered> {
-    /// Takes in an offer that arrived at `now`.
+    /// The attempt of an offer that arrived at `now`.
     pub fn from_offer(now: Moment, offer: &Offer) -> Attempt<Offered> {
         let deadline = now + offer.remaining_us;
-        let patience = offer.objective_us.map_or(offer.remaining_us, |objective| {
-            (objective as f64 * PATIENCE_PART) as u64
+        let max_wait_us = offer.objective_us.map_or(offer.remaining_us, |objective| {
+            (objective as f64 * MAX_WAIT_FRACTION) as u64
         });
         Attempt {
             id: offer.id,
             deadline,
-            latest_start: deadline.min(now + patience),
+            latest_start: deadline.min(now + max_wait_us),
             objective: offer.objective_us.map(|us| now + us),
             priority: offer.priority,
             class: Class {
@@ -158,8 +156,8 @@
         }
     }
 
-    /// The same attempt, which can't be answered within its objective any more: it stands behind those that can, and is
-    /// refused when no slot comes free at once.
+    /// Marks the attempt as one that can't be answered within its objective any more: it is queued behind
+    /// those that can, and is refused unless a slot becomes free almost immediately.
     pub fn into_overdue(mut self, now: Moment) -> Attempt<Offered> {
         self.is_overdue = true;
         self.latest_start = self.deadline.min(now + OVERDUE_WAIT_US);
@@ -168,22 +166,22 @@
 
     /// Takes a slot.
     pub fn start(self, now: Moment, slow_percent: u32) -> Attempt<Started> {
-        self.with(Started {
+        self.with_state(Started {
             at: now,
             slow_percent,
         })
     }
 
-    /// Waits for a slot.
+    /// Enters the queue.
     pub fn queue(self, now: Moment) -> Attempt<Queued> {
-        self.with(Queued { at: now })
+        self.with_state(Queued { at: now })
     }
 }
 
 impl Attempt<Queued> {
     /// Takes a slot.
     pub fn start(self, now: Moment, slow_percent: u32) -> Attempt<Started> {
-        self.with(Started {
+        self.with_state(Started {
             at: now,
             slow_percent,
         })
--- a/components/home/src/config.rs
+++ b/components/home/src/config.rs
@@ -1,26 +1,27 @@
-//! Fixed limits of a home duty, what the daemon has to do for it, and what it counts.
+//! Settings of a home duty, the actions that it asks of the daemon, and its counters.
 
 use crate::message::Refusal;
 use names::{AttemptId, SECOND};
 
-/// Fixed limits of a home duty.
+/// Settings of a home duty.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Requests the upstream serves at once.
+    /// Requests that the upstream serves concurrently.
     pub slots: u32,
-    /// Ends of attempts kept.
+    /// Maximum number of records of ended attempts.
     pub max_records: usize,
-    /// Whole answers kept for replay.
+    /// Maximum number of complete answers kept for replay.
     pub max_answers: usize,
-    /// How long an end is kept, in microseconds.
+    /// How long a record is kept, in microseconds.
     pub keep_us: u64,
-    /// Part of the slots that is used: many upstreams slow down when they are nearly full.
+    /// Fraction of the slots that is used: many upstreams slow down when nearly all are taken.
     pub usable_fraction: f64,
-    /// Whether slowness that is measured here lowers the limit, and a cold upstream is opened slowly.
+    /// Whether measured service times lower the concurrency limit, and the limit of a cold upstream
+    /// rises gradually.
     pub adaptive: bool,
-    /// Whether the upstream can be asked for its pace before work starts there.
+    /// Whether the upstream's reported slowdown can be probed before work starts there.
     pub can_probe: bool,
-    /// Seed of the generator that spreads returning callers.
+    /// Seed of the generator that spreads retry times.
     pub seed: u64,
 }
 
@@ -39,24 +40,24 @@
     }
 }
 
-/// What a look at the upstream's pace brought.
+/// Result of a probe of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It answered.
+    /// The upstream reported its state.
     Reported {
-        /// How long work takes there, in hundredths of the usual; none if it doesn't say.
+        /// Service time in percent of the typical one; none if not reported.
         percent: Option<u32>,
-        /// How much longer it is cold, in microseconds; 0 when it is warm, none if it doesn't say.
+        /// How much longer it is cold, in microseconds; 0 when warm, none if not reported.
         cold_us: Option<u64>,
     },
-    /// No word: the upstream did not answer in time, or does not say.
+    /// The upstream did not answer in time, or its answer reports neither value.
     NoAnswer,
-    /// The measuring budget allowed no look; it will soon.
+    /// The measuring budget allowed no probe; it will soon.
     NoBudget,
 }
 
 impl ProbeResult {
-    /// An answer that tells the pace alone.
+    /// A result that reports the slowdown alone.
     pub fn percent(percent: u32) -> ProbeResult {
         ProbeResult::Reported {
             percent: Some(percent),
@@ -65,59 +66,57 @@
     }
 }
 
-/// Something the daemon has to do.
+/// Something that the daemon has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send the request to the upstream now.
     Start(AttemptId),
-    /// Tell the entry duty that the attempt was not run and never will be.
+    /// Report to the entry duty that the attempt was not run and never will be.
     Refuse(AttemptId, Refusal),
-    /// Ask the upstream for its pace and call [`crate::Home::probe_finished`] with what it says; offers wait.
+    /// Probe the upstream and pass the result to [`crate::Home::probe_finished`]; offers wait for it.
     Probe,
-    /// Tell the entry duty that the run takes much longer than usual.
+    /// Report to the entry duty that the run takes much longer than typical.
     Straggles(AttemptId),
-    /// Hand a queued attempt back, not run, to be moved elsewhere.
+    /// Return a queued attempt, not run, so that it can be offered elsewhere.
     Revoke(AttemptId),
 }
 
-/// What one account has at a home duty.
+/// Attempts of one client account at a home duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AccountLoad {
-    /// Attempts running.
     pub running: u32,
-    /// Attempts queued.
     pub queued: u32,
 }
 
 /// Events counted for the operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counters {
-    /// Offers taken in.
+    /// Offers received.
     pub offers: u64,
     /// Attempts started.
     pub started: u64,
-    /// Attempts that waited in the queue.
+    /// Attempts admitted to the queue.
     pub queued: u64,
     /// Attempts refused.
     pub refused: u64,
-    /// Queued attempts handed back.
+    /// Queued attempts revoked.
     pub revoked: u64,
-    /// Attempts fenced by a question before they were offered.
+    /// Attempts fenced by a query before they were offered.
     pub fenced: u64,
-    /// Offers dropped because the attempt was known already.
+    /// Offers dropped because the attempt was already active, on record or too old.
     pub late_offers: u64,
-    /// Looks at the upstream's pace that were asked for.
+    /// Probes of the upstream that were requested.
     pub probes: u64,
-    /// Attempts refused because the upstream is cold and bears no more for now.
+    /// Attempts refused because the upstream is cold and sustains no more starts for now.
     pub refused_cold: u64,
-    /// Attempts refused because the upstream takes no more within the limit that it names.
+    /// Attempts refused because the upstream's advertised request limit is used up.
     pub refused_limited: u64,
-    /// Queued attempts refused in favour of another account's of their rank.
+    /// Queued attempts refused in favour of another account's attempt of the same rank.
     pub refused_for_account: u64,
-    /// Starts on a word that was fresh already.
+    /// Starts without a probe because the last report was recent enough.
     pub probes_saved: u64,
-    /// Runs reported because they took much longer than usual.
+    /// Runs reported as stragglers.
     pub stragglers: u64,
-    /// Completions dropped because the attempt was not running.
+    /// Completions ignored because the attempt was not running.
     pub late_completions: u64,
 }
--- a/components/home/src/duty/accounts.rs
+++ b/components/home/src/duty/accounts.rs
@@ -1,4 +1,4 @@
-//! What accounts have at this home duty.
+//! Attempts and scheduling state of client accounts at this home duty.
 
 use super::Home;
 use crate::config::AccountLoad;
@@ -6,15 +6,16 @@
 use names::{AttemptId, Name};
 
 impl<A: Clone> Home<A> {
-    /// How many attempts of the account run and wait; without one, those that have none.
+    /// Numbers of running and queued attempts of the account; for `None`, of attempts without an account.
     pub fn account_load(&self, account: &Option<Name>) -> AccountLoad {
         AccountLoad {
-            running: self.queue.held().of(account),
-            queued: self.queue.waiting().of(account),
+            running: self.queue.running().of(account),
+            queued: self.queue.queued().of(account),
         }
     }
 
-    /// Whether the attempt was refused in a full queue for one of another account of its rank, as far as that is on record.
+    /// Whether a record says that the attempt was refused in a full queue in favour of another account's
+    /// attempt of the same rank.
     pub fn is_displaced(&self, id: AttemptId) -> bool {
         matches!(
             self.records.look_up(id),
@@ -22,18 +23,18 @@
         )
     }
 
-    /// Number of accounts with attempts that wait.
+    /// Number of accounts with queued attempts.
     pub fn accounts_waiting(&self) -> usize {
-        self.queue.waiting().accounts()
+        self.queue.queued().accounts()
     }
 
-    /// Number of accounts whose tags are kept: those with attempts that wait, and those whose finish tag is ahead of the
-    /// virtual time.
+    /// Number of accounts whose tags are kept: those with queued attempts, and those whose finish tag is
+    /// ahead of the virtual time.
     pub fn accounts_tracked(&self) -> usize {
         self.queue.flows()
     }
 
-    /// The virtual time of the fair order, in microseconds: the largest over ranks and levels.
+    /// The virtual time of fair queueing, in microseconds: the maximum over ranks and levels.
     pub fn virtual_time_us(&self) -> u64 {
         self.queue.virtual_time_us()
     }
--- a/components/home/src/duty/admission.rs
+++ b/components/home/src/duty/admission.rs
@@ -1,6 +1,6 @@
-//! Which offers start, wait or are refused.
+//! Admission of offers: which ones start, are queued or are refused.
 
-use super::{Home, DOWN_TRIAL_US, QUEUE_PER_SLOT};
+use super::{Home, DOWN_RETRY_INTERVAL_US, MAX_QUEUED_PER_SLOT};
 use crate::attempt::{Attempt, Queued};
 use crate::cold::ColdAdmission;
 use crate::config::Action;
@@ -11,60 +11,61 @@
 use names::Moment;
 
 impl<A: Clone> Home<A> {
-    /// Starts an offer, lets it wait for a slot or for a word on the pace, or refuses it.
-    pub(super) fn decide(&mut self, now: Moment, offer: &Offer) -> Vec<Action> {
+    /// Starts an offer, queues it until a slot is free or the upstream has reported, or refuses it.
+    pub(super) fn admit_or_refuse(&mut self, now: Moment, offer: &Offer) -> Vec<Action> {
         let mut actions = Vec::new();
-        if let Some(reason) = self.closed(now, offer) {
-            self.refuse_ended(now, offer.id, reason, &mut actions);
+        if let Some(reason) = self.closed_reason(now, offer) {
+            self.refuse(now, offer.id, reason, &mut actions);
             return actions;
         }
         let class = Class {
             level: offer.level,
             repeatable: offer.repeatable,
         };
-        let attempt = self.ranked(now, offer, Attempt::from_offer(now, offer));
+        let attempt = self.demote_if_overdue(now, offer, Attempt::from_offer(now, offer));
         let running = self.in_flight(now);
         let limit = self.current_limit(now, &running);
-        self.limit.offered(now);
-        self.depth.observe(now, offer.level);
-        let matters = self.pace.may_defer(class);
-        let room = self.cold_room(now, 0);
-        let in_doubt = matches!(room, ColdAdmission::Unconfirmed(_));
-        if in_doubt {
+        self.concurrency_limit.offered(now);
+        self.depth_tracker.observe(now, offer.level);
+        let may_defer = self.slowdown.may_defer(class);
+        let admission = self.cold_admission(now, 0);
+        let is_unconfirmed = matches!(admission, ColdAdmission::Unconfirmed(_));
+        if is_unconfirmed {
             self.probe_once(now, &mut actions);
         }
-        if in_doubt || matters && self.waits_for_report(now, &mut actions) {
-            self.unsettled.push(attempt.id());
-            let cost_us = self.pace.cost_us(class);
-            self.queue.put(attempt.queue(now), cost_us);
+        if is_unconfirmed || may_defer && self.must_wait_for_report(now, &mut actions) {
+            self.awaiting_report.push(attempt.id());
+            let cost_us = self.slowdown.cost_us(class);
+            self.queue.insert(attempt.queue(now), cost_us);
             return actions;
         }
         let is_deferred = !offer.may_queue && self.is_deferred(now, class);
-        if is_deferred || self.is_hopeless(now, &attempt) {
-            // Another upstream is asked next, which may be faster now; if all are as slow, the request comes back to queue.
-            self.refuse_ended(now, offer.id, Reason::Busy, &mut actions);
+        if is_deferred || self.likely_misses_deadline(now, &attempt) {
+            // The entry duty tries another upstream next, which may be faster now. If all are as slow, the
+            // request is offered again, to be queued.
+            self.refuse(now, offer.id, Reason::Busy, &mut actions);
             return actions;
         }
-        let allowed = self.allowed(now, offer.level, limit);
-        let is_first = self.queue.is_empty() || !matters && self.queue.ahead_of(&attempt) == 0;
+        let level_limit = self.limit_for_level(now, offer.level, limit);
+        let is_first = self.queue.is_empty() || !may_defer && self.queue.ahead_of(&attempt) == 0;
         let is_within_limit = self.request_limit.wait_us(now, 0) == 0;
-        let has_room = room == ColdAdmission::Free && is_within_limit;
-        let is_free = self.running.len() < allowed as usize && is_first && has_room;
-        if is_free && !self.defers_queued(now, class) {
+        let has_capacity = admission == ColdAdmission::Free && is_within_limit;
+        let has_free_slot = self.running.len() < level_limit as usize && is_first && has_capacity;
+        if has_free_slot && !self.is_deferred_in_queue(now, class) {
             self.counters.probes_saved += 1;
-            let percent = self.pace.reported_percent(now);
+            let percent = self.slowdown.reported_percent(now);
             self.start(attempt.start(now, percent), &mut actions);
             return actions;
         }
-        let attempt = self.in_time(now, attempt);
-        let is_taken = self.admit(now, attempt.queue(now), true, &mut actions);
-        self.counters.refused_cold += u64::from(!is_taken && room != ColdAdmission::Free);
-        self.counters.refused_limited += u64::from(!is_taken && !is_within_limit);
+        let attempt = self.limit_wait_to_objective(now, attempt);
+        let is_queued = self.admit(now, attempt.queue(now), true, &mut actions);
+        self.counters.refused_cold += u64::from(!is_queued && admission != ColdAdmission::Free);
+        self.counters.refused_limited += u64::from(!is_queued && !is_within_limit);
         actions
     }
 
-    /// Lets an attempt wait, in a full queue in the place of another where it `displaces` one, or refuses it. Returns
-    /// whether it waits.
+    /// Queues an attempt or refuses it. With `displaces`, it takes the place of another one in a full
+    /// queue. Returns whether it was queued.
     fn admit(
         &mut self,
         now: Moment,
@@ -74,61 +75,61 @@
     ) -> bool {
         let running = self.in_flight(now);
         let limit = self.current_limit(now, &running);
-        if !attempt.may_queue() || !self.fits(now, &attempt, &running, limit) {
-            self.refuse_ended(now, attempt.id(), Reason::Busy, actions);
+        if !attempt.may_queue() || !self.can_queue(now, &attempt, &running, limit) {
+            self.refuse(now, attempt.id(), Reason::Busy, actions);
             return false;
         }
         if displaces {
-            self.make_room(now, &attempt, actions);
+            self.displace_for(now, &attempt, actions);
         }
         self.counters.queued += 1;
-        let cost_us = self.pace.cost_us(attempt.class());
-        self.queue.put(attempt, cost_us);
+        let cost_us = self.slowdown.cost_us(attempt.class());
+        self.queue.insert(attempt, cost_us);
         true
     }
 
-    /// The reason why no offer is taken at all now, if there is one.
-    pub(super) fn closed(&self, now: Moment, offer: &Offer) -> Option<Reason> {
+    /// The reason why this upstream accepts no offer now, if there is one.
+    pub(super) fn closed_reason(&self, now: Moment, offer: &Offer) -> Option<Reason> {
         if self.leaving {
             return Some(Reason::Leaving);
         }
         if offer.remaining_us == 0 {
             return Some(Reason::Deadline);
         }
-        let down = self.down_since?;
-        let trial = now.since(down) >= DOWN_TRIAL_US && self.running.is_empty();
-        (!trial).then_some(Reason::Down)
+        let down_since = self.down_since?;
+        let may_retry = now.since(down_since) >= DOWN_RETRY_INTERVAL_US && self.running.is_empty();
+        (!may_retry).then_some(Reason::Down)
     }
 
-    /// Whether a new attempt would be served before its deadline and finds room.
-    pub(super) fn fits<S>(
+    /// Whether a new attempt is expected to be served in time and the queue has space for it.
+    pub(super) fn can_queue<S>(
         &self,
         now: Moment,
         attempt: &Attempt<S>,
         running: &[(Class, u64)],
         limit: u32,
     ) -> bool {
-        let service = self.limit.service_us(running);
+        let service_us = self.concurrency_limit.service_us(running);
         let ahead = self.queue.ahead_of(attempt);
-        let slot_wait = (ahead + 1) as f64 * service / limit as f64;
-        let wait = slot_wait.max(self.request_limit.wait_us(now, ahead) as f64);
-        if self.cold.wait_us(now, ahead) > 0 {
-            // Another upstream may bear it now. What waits here until more is borne comes late, and so do the calls
-            // behind it.
+        let slot_wait_us = (ahead + 1) as f64 * service_us / limit as f64;
+        let wait_us = slot_wait_us.max(self.request_limit.wait_us(now, ahead) as f64);
+        if self.cold_limiter.wait_us(now, ahead) > 0 {
+            // Another upstream may have capacity now. An attempt that waits for this one to warm up is
+            // answered late, and so are the calls behind it.
             return false;
         }
-        let patience = attempt.latest_start().since(now) as f64;
-        let remaining = attempt.deadline().since(now) as f64;
-        let in_time = wait + service <= remaining && wait <= patience;
-        in_time && (!self.is_full() || self.queue.longest_queue_drop(attempt).is_some())
+        let max_wait_us = attempt.latest_start().since(now) as f64;
+        let remaining_us = attempt.deadline().since(now) as f64;
+        let is_in_time = wait_us + service_us <= remaining_us && wait_us <= max_wait_us;
+        is_in_time && (!self.is_full() || self.queue.longest_queue_drop(attempt).is_some())
     }
 
     fn is_full(&self) -> bool {
-        self.queue.len() >= self.cfg.slots as usize * QUEUE_PER_SLOT
+        self.queue.len() >= self.cfg.slots as usize * MAX_QUEUED_PER_SLOT
     }
 
-    /// When the queue is full, refuses the last attempt of the longest queue for a new one.
-    pub(super) fn make_room<S>(
+    /// When the queue is full, refuses the last attempt of the account with the most for a new one.
+    pub(super) fn displace_for<S>(
         &mut self,
         now: Moment,
         attempt: &Attempt<S>,
@@ -141,26 +142,27 @@
             return;
         };
         let id = last.id();
-        let is_for_account = Rank::of(last) == Rank::of(attempt);
-        self.queue.take(id);
-        self.counters.refused_for_account += u64::from(is_for_account);
-        let record = if is_for_account {
+        let is_same_rank = Rank::of(last) == Rank::of(attempt);
+        self.queue.remove(id);
+        self.counters.refused_for_account += u64::from(is_same_rank);
+        let record = if is_same_rank {
             Record::Displaced
         } else {
             Record::NotRun
         };
-        self.refuse_as(now, id, Reason::Busy, record, actions);
+        self.refuse_with_record(now, id, Reason::Busy, record, actions);
     }
 
-    /// Decides about the attempts that came while there was no word and got no slot since.
-    pub(super) fn settle(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        for id in std::mem::take(&mut self.unsettled) {
-            let Some(attempt) = self.queue.take(id) else {
+    /// Admits or refuses the attempts that arrived while there was no recent report and are still queued.
+    pub(super) fn admit_awaiting_report(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.awaiting_report) {
+            let Some(attempt) = self.queue.remove(id) else {
                 continue;
             };
-            let attempt = self.in_time(now, attempt);
-            // Without accounts all decisions stay as recorded: there the queue may exceed its bound by such attempts.
-            let has_accounts = self.queue.waiting().accounts() > 0 || attempt.account().is_some();
+            let attempt = self.limit_wait_to_objective(now, attempt);
+            // Without accounts, the queue may exceed its maximum length by these attempts: decisions there
+            // stay as recorded in tests/decisions.rs.
+            let has_accounts = self.queue.queued().accounts() > 0 || attempt.account().is_some();
             self.admit(now, attempt, has_accounts, actions);
         }
     }
--- a/components/home/src/duty/chances.rs
+++ b/components/home/src/duty/chances.rs
@@ -1,9 +1,10 @@
-//! Whether work can still be answered in time, by how long runs of its kind take now.
+//! Whether work can still be answered in time, by the expected run times of its class.
 //!
-//! The load that this answers: all upstreams of a service work at half their speed for some seconds, because
-//! they have just started, and more comes than they can carry. Whoever waits then as long as it may at the
-//! usual pace is answered late, and so is everything behind it; upstreams are kept busy with answers that
-//! nobody needs any more. At the usual pace these bounds lie beyond the patience and change nothing.
+//! Load pattern: all upstreams of a service run at half speed for some seconds, because they have just
+//! started, and the load exceeds their capacity. An attempt that waits as long as it may at the typical
+//! speed is then answered late, and so is everything behind it: upstreams are kept busy with answers
+//! that no caller needs any more. At the typical speed these bounds lie beyond the maximum wait and
+//! change nothing.
 
 use super::Home;
 use crate::attempt::{Attempt, Offered};
@@ -11,44 +12,50 @@
 use crate::message::Offer;
 use names::Moment;
 
-/// A run is expected to take this part of the objective at the usual pace before one of its kind has ended.
-/// At the users' sites it is 0.24 to 0.47.
-const UNKNOWN_RUN_PART: f64 = 0.4;
-/// An attempt waits for a slot as long as this many expected runs still fit into its objective. Runs
-/// vary, and the calls made for one wait as well: of recorded callers of 295 VMs after a loss of power,
-/// with three tenths added, 0.418 of the worth was earned with 1.5, 0.413 with 1.3, 0.389 with 1.1 and 0.328
-/// without the bound (means of six seeds).
-const ROOM_RUNS: f64 = 1.5;
-/// A run is hopeless when its deadline comes within this part of the expected time: one in seven ends so soon
-/// where runs deviate by a third.
-const HOPELESS_PART: f64 = 0.7;
+/// Expected run time before any run of the class has ended, as a fraction of the objective, at the typical
+/// speed. In deployments it is 0.24 to 0.47.
+const UNKNOWN_RUN_FRACTION: f64 = 0.4;
+/// An attempt waits for a slot as long as this many expected run times are left of its objective. Run
+/// times vary, and calls made by a run wait as well. With the recorded callers of 295 VMs after a loss of
+/// power, and three tenths more, 0.418 of the possible value was reached at 1.5, 0.413 at 1.3, 0.389 at
+/// 1.1 and 0.328 without this bound (means of six seeds).
+const MIN_RUNS_LEFT: f64 = 1.5;
+/// A run likely misses its deadline if less than this fraction of the expected run time is left: where
+/// run times deviate by a third, one run in seven is that short.
+const MIN_RUN_FRACTION: f64 = 0.7;
 
 impl<A: Clone> Home<A> {
-    /// Lets an attempt wait only as long as it can still be answered within its objective.
-    pub(super) fn in_time<S>(&self, now: Moment, attempt: Attempt<S>) -> Attempt<S> {
+    /// Limits the wait of an attempt to the time in which it can still be answered within its objective.
+    pub(super) fn limit_wait_to_objective<S>(
+        &self,
+        now: Moment,
+        attempt: Attempt<S>,
+    ) -> Attempt<S> {
         let Some(objective) = attempt.objective().filter(|_| !attempt.is_overdue()) else {
             return attempt;
         };
-        let run_us = self.run_us(now, attempt.class()).unwrap_or_else(|| {
-            let usual_us = objective.since(now) as f64 * UNKNOWN_RUN_PART;
-            self.pace.scaled_us(now, usual_us)
-        });
-        let latest = objective - (run_us * ROOM_RUNS) as u64;
-        attempt.with_latest_start(latest.max(now))
+        let run_us = self
+            .expected_run_us(now, attempt.class())
+            .unwrap_or_else(|| {
+                let typical_us = objective.since(now) as f64 * UNKNOWN_RUN_FRACTION;
+                self.slowdown.scaled_us(now, typical_us)
+            });
+        let latest_start = objective - (run_us * MIN_RUNS_LEFT) as u64;
+        attempt.with_latest_start(latest_start.max(now))
     }
 
-    /// Lets an attempt whose caller was refused before stand behind others when it can't be answered within its objective
-    /// any more.
+    /// Marks the attempt of a caller that was refused before as overdue if it can't be answered within its
+    /// objective any more: it is then queued behind those that can.
     ///
-    /// The load that this answers: a service is short of slots for some seconds, and a third of what comes are callers
-    /// that were refused a moment ago. Served late, they keep others from being served in time.
-    pub(super) fn ranked(
+    /// Load pattern: a service is short of slots for some seconds, and a third of its requests are from
+    /// callers that were refused recently. Served late, they keep others from being served in time.
+    pub(super) fn demote_if_overdue(
         &self,
         now: Moment,
         offer: &Offer,
         attempt: Attempt<Offered>,
     ) -> Attempt<Offered> {
-        let run_us = self.run_us(now, attempt.class()).unwrap_or(0.0);
+        let run_us = self.expected_run_us(now, attempt.class()).unwrap_or(0.0);
         let is_late = |left_us: u64| left_us == 0 || (left_us as f64) < run_us;
         if offer.returned && offer.objective_us.is_some_and(is_late) {
             attempt.into_overdue(now)
@@ -57,17 +64,17 @@
         }
     }
 
-    /// Whether a run that begins now would hardly end before the deadline. Slots of a service that is short of
-    /// them would go to work that is lost already.
-    pub(super) fn is_hopeless<S>(&self, now: Moment, attempt: &Attempt<S>) -> bool {
+    /// Whether a run that begins now is unlikely to end before the deadline. On a service that is short of
+    /// slots, such a run would waste one.
+    pub(super) fn likely_misses_deadline<S>(&self, now: Moment, attempt: &Attempt<S>) -> bool {
         let left_us = attempt.deadline().since(now) as f64;
-        let run_us = self.run_us(now, attempt.class());
-        run_us.is_some_and(|run_us| left_us < run_us * HOPELESS_PART)
+        let run_us = self.expected_run_us(now, attempt.class());
+        run_us.is_some_and(|run_us| left_us < run_us * MIN_RUN_FRACTION)
     }
 
-    /// How long a run of this kind takes that begins now, in microseconds; none before one has ended.
-    fn run_us(&self, now: Moment, class: Class) -> Option<f64> {
-        let usual_us = self.pace.service_us(class)?;
-        Some(self.pace.scaled_us(now, usual_us))
+    /// Expected time of a run of this class that begins now, in microseconds; none before one has ended.
+    fn expected_run_us(&self, now: Moment, class: Class) -> Option<f64> {
+        let typical_us = self.slowdown.service_us(class)?;
+        Some(self.slowdown.scaled_us(now, typical_us))
     }
 }
--- a/components/home/src/lib.rs
+++ b/components/home/src/lib.rs
@@ -1,8 +1,8 @@
-//! Home duty: the only way to the upstream beside this node.
+//! Home duty: the only path to this node's local upstream.
 //!
-//! The home duty hands out the upstream's slots, keeps a short queue, and records what became of
-//! each attempt. All decisions are pure: time is passed in and every call returns the actions for
-//! the daemon to carry out. Invariants are asserted in release builds too.
+//! The home duty assigns the upstream's slots, keeps a short queue, and records the outcome of each
+//! attempt. It performs no I/O and reads no clock: time is passed in, and every call returns the
+//! actions that the daemon has to carry out. Invariants are asserted in release builds too.
 
 mod attempt;
 mod cold;
--- a/components/home/src/queue.rs
+++ b/components/home/src/queue.rs
@@ -6,7 +6,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-/// Who goes before whom: attempts that can still be answered within their objective, then higher priorities.
+/// Precedence of attempts: those that can still be answered within their objective first, then by
+/// descending priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     is_overdue: bool,
@@ -14,7 +15,6 @@
 }
 
 impl Rank {
-    /// The rank of an attempt.
     pub(crate) fn of<S>(attempt: &Attempt<S>) -> Rank {
         Rank {
             is_overdue: attempt.is_overdue(),
@@ -23,28 +23,28 @@
     }
 }
 
-/// Order of the lanes: by rank, then deeper levels first. Within a lane the smallest start tag goes first.
+/// Lanes are served by rank, then deeper levels first. Within a lane, the smallest start tag is first.
 type LaneKey = (Rank, Reverse<u32>);
 
-/// Where an attempt waits.
+/// Where an attempt is queued.
 #[derive(Debug)]
-struct Place {
+struct QueueEntry {
     lane: LaneKey,
     account: Account,
     deadline: Moment,
 }
 
-/// How many attempts of each account run, or wait; accounts that have none are not kept.
+/// Number of running or queued attempts of each account. Accounts without any have no entry.
 #[derive(Debug, Default)]
-pub(crate) struct Counts(HashMap<Account, u32>);
+pub(crate) struct AccountCounts(HashMap<Account, u32>);
 
-impl Counts {
-    /// The account's attempts.
+impl AccountCounts {
+    /// Number of the account's attempts.
     pub(crate) fn of(&self, account: &Account) -> u32 {
         self.0.get(account).copied().unwrap_or(0)
     }
 
-    /// Accounts that are counted, without the group of attempts that have none.
+    /// Number of accounts, without the group of attempts that have no account.
     pub(crate) fn accounts(&self) -> usize {
         self.0.len() - usize::from(self.0.contains_key(&None))
     }
@@ -63,39 +63,38 @@
     }
 }
 
-/// Attempts that wait for a slot, and what decides whose turn it is.
+/// Queued attempts, and the state of fair queueing among accounts.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     lanes: BTreeMap<LaneKey, Lane>,
-    places: HashMap<AttemptId, Place>,
-    held: Counts,
-    waiting: Counts,
+    entries: HashMap<AttemptId, QueueEntry>,
+    running: AccountCounts,
+    queued: AccountCounts,
 }
 
 impl Queue {
-    /// Number of attempts that wait.
+    /// Number of queued attempts.
     pub(crate) fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
-    /// Whether none waits.
     pub(crate) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Whether the attempt waits.
+    /// Whether the attempt is queued.
     pub(crate) fn contains(&self, id: AttemptId) -> bool {
-        self.places.contains_key(&id)
+        self.entries.contains_key(&id)
     }
 
-    /// How many attempts of each account wait.
-    pub(crate) fn waiting(&self) -> &Counts {
-        &self.waiting
+    /// Number of queued attempts of each account.
+    pub(crate) fn queued(&self) -> &AccountCounts {
+        &self.queued
     }
 
-    /// How many slots each account holds.
-    pub(crate) fn held(&self) -> &Counts {
-        &self.held
+    /// Number of slots that each account occupies.
+    pub(crate) fn running(&self) -> &AccountCounts {
+        &self.running
     }
 
     /// Number of accounts whose tags are kept, over all lanes.
@@ -103,59 +102,59 @@
         self.lanes.values().map(Lane::flows).sum()
     }
 
-    /// The virtual time of the lane that is furthest, in microseconds.
+    /// The maximum of the lanes' virtual times, in microseconds.
     pub(crate) fn virtual_time_us(&self) -> u64 {
         let lanes = self.lanes.values();
         lanes.map(Lane::virtual_time_us).max().unwrap_or(0)
     }
 
-    /// Lets an attempt wait that costs its account `cost_us`.
-    pub(crate) fn put(&mut self, attempt: Attempt<Queued>, cost_us: u64) {
-        let place = Place {
+    /// Queues an attempt that costs its account `cost_us`.
+    pub(crate) fn insert(&mut self, attempt: Attempt<Queued>, cost_us: u64) {
+        let entry = QueueEntry {
             lane: lane_of(&attempt),
             account: attempt.account().clone(),
             deadline: attempt.deadline(),
         };
-        self.waiting.add(&place.account);
-        let lane = self.lanes.entry(place.lane).or_default();
-        self.places.insert(attempt.id(), place);
-        lane.put(attempt, cost_us);
-    }
-
-    /// Takes an attempt out, if it waits, that is not going to start.
-    pub(crate) fn take(&mut self, id: AttemptId) -> Option<Attempt<Queued>> {
-        let place = self.places.remove(&id)?;
-        self.waiting.sub(&place.account);
-        let lane = self.lanes.get_mut(&place.lane)?;
-        let attempt = lane.take(&place.account, (place.deadline, id));
+        self.queued.add(&entry.account);
+        let lane = self.lanes.entry(entry.lane).or_default();
+        self.entries.insert(attempt.id(), entry);
+        lane.insert(attempt, cost_us);
+    }
+
+    /// Removes an attempt that is not going to start, if it is queued.
+    pub(crate) fn remove(&mut self, id: AttemptId) -> Option<Attempt<Queued>> {
+        let entry = self.entries.remove(&id)?;
+        self.queued.sub(&entry.account);
+        let lane = self.lanes.get_mut(&entry.lane)?;
+        let attempt = lane.remove(&entry.account, (entry.deadline, id));
         if lane.is_idle() {
-            self.lanes.remove(&place.lane);
+            self.lanes.remove(&entry.lane);
         }
         attempt
     }
 
-    /// Takes out the first attempt that `fits`, to start it: [`Queue::started`] has to follow.
+    /// Removes the first attempt that `fits`, to start it: the caller has to call [`Queue::started`] next.
     pub(crate) fn take_first(
         &mut self,
         fits: impl Fn(&Attempt<Queued>) -> bool,
     ) -> Option<Attempt<Queued>> {
         let mut lanes = self.lanes.values_mut();
         let attempt = lanes.find_map(|lane| lane.take_first(&fits))?;
-        self.places.remove(&attempt.id());
-        self.waiting.sub(attempt.account());
+        self.entries.remove(&attempt.id());
+        self.queued.sub(attempt.account());
         Some(attempt)
     }
 
-    /// Takes in that an attempt, which need not have waited, has got a slot.
+    /// Records that an attempt, queued before or not, has taken a slot.
     pub(crate) fn started(&mut self, attempt: &Attempt<Started>, cost_us: u64) {
-        self.held.add(attempt.account());
+        self.running.add(attempt.account());
         let lane = self.lanes.entry(lane_of(attempt)).or_default();
         lane.started(attempt.account(), cost_us);
     }
 
-    /// Takes in that an attempt has given its slot back.
+    /// Records that an attempt has released its slot.
     pub(crate) fn ended(&mut self, attempt: &Attempt<Started>) {
-        self.held.sub(attempt.account());
+        self.running.sub(attempt.account());
         let key = lane_of(attempt);
         let Some(lane) = self.lanes.get_mut(&key) else {
             return;
@@ -166,13 +165,13 @@
         }
     }
 
-    /// Whether any attempt is so.
-    pub(crate) fn any(&self, is_so: impl Fn(&Attempt<Queued>) -> bool) -> bool {
-        self.attempts().any(is_so)
+    /// Whether any queued attempt satisfies the predicate.
+    pub(crate) fn any(&self, predicate: impl Fn(&Attempt<Queued>) -> bool) -> bool {
+        self.attempts().any(predicate)
     }
 
-    /// Number of attempts served before a new one: all of higher ranks, those of its account in its rank, and of other
-    /// accounts there only the deeper ones and those with smaller start tags.
+    /// Number of queued attempts served before a new one: all of higher ranks, those of its own account in
+    /// its rank, and of other accounts in its rank the deeper ones and those with smaller start tags.
     pub(crate) fn ahead_of<S>(&self, attempt: &Attempt<S>) -> usize {
         let (rank, level) = lane_of(attempt);
         let account = attempt.account();
@@ -186,58 +185,58 @@
                 if *other_level == level {
                     lane.ahead_of(attempt)
                 } else {
-                    lane.waiting_of(account)
+                    lane.queued_of(account)
                 }
             })
             .sum()
     }
 
-    /// Longest queue drop: the attempt that is refused for a new one when the queue is full. It is the last one of the account with the most
-    /// attempts in the lowest rank, unless that rank is above the new attempt's, or no other account has more there than
-    /// the new attempt's would have.
+    /// Longest queue drop: the attempt that is refused for a new one when the queue is full. It is the last
+    /// one of the account with the most attempts in the lowest rank. None if that rank is above the new
+    /// attempt's, or is the same and no account has more attempts there than the new attempt's would have.
     pub(crate) fn longest_queue_drop<S>(&self, attempt: &Attempt<S>) -> Option<&Attempt<Queued>> {
-        let own = Rank::of(attempt);
+        let own_rank = Rank::of(attempt);
         let lowest = Rank::of(self.attempts().next_back()?);
-        if lowest < own {
+        if lowest < own_rank {
             return None;
         }
-        let mut most: BTreeMap<&Account, (usize, &Attempt<Queued>)> = BTreeMap::new();
-        for last in self.attempts().filter(|it| Rank::of(*it) == lowest) {
-            let (count, latest) = most.entry(last.account()).or_insert((0, last));
+        let mut by_account: BTreeMap<&Account, (usize, &Attempt<Queued>)> = BTreeMap::new();
+        for other in self.attempts().filter(|it| Rank::of(*it) == lowest) {
+            let (count, last) = by_account.entry(other.account()).or_insert((0, other));
             *count += 1;
-            *latest = last;
+            *last = other;
         }
         let key = |(count, last): &(usize, &Attempt<Queued>)| {
             (*count, lane_of(last), last.deadline(), last.id())
         };
-        let (count, last) = most.values().copied().max_by_key(key)?;
-        let would_have = most
+        let (count, last) = by_account.values().copied().max_by_key(key)?;
+        let own_count = by_account
             .get(attempt.account())
             .map_or(1, |(count, _)| count + 1);
-        (lowest > own || count > would_have).then_some(last)
+        (lowest > own_rank || count > own_count).then_some(last)
     }
 
-    /// The attempts that have waited as long as they may.
-    pub(crate) fn late(&self, now: Moment) -> Vec<AttemptId> {
+    /// The attempts whose latest start has passed.
+    pub(crate) fn past_latest_start(&self, now: Moment) -> Vec<AttemptId> {
         self.ids_where(|attempt| attempt.latest_start() <= now)
     }
 
     /// The attempts whose deadline has passed.
-    pub(crate) fn dead(&self, now: Moment) -> Vec<AttemptId> {
+    pub(crate) fn past_deadline(&self, now: Moment) -> Vec<AttemptId> {
         self.ids_where(|attempt| attempt.deadline() <= now)
     }
 
-    fn ids_where(&self, is_so: impl Fn(&Attempt<Queued>) -> bool) -> Vec<AttemptId> {
-        let found = self.attempts().filter(|attempt| is_so(attempt));
+    fn ids_where(&self, predicate: impl Fn(&Attempt<Queued>) -> bool) -> Vec<AttemptId> {
+        let found = self.attempts().filter(|attempt| predicate(attempt));
         found.map(|attempt| attempt.id()).collect()
     }
 
-    /// All that wait.
+    /// All queued attempts.
     pub(crate) fn ids(&self) -> Vec<AttemptId> {
         self.attempts().map(|attempt| attempt.id()).collect()
     }
 
-    /// What waits, rank by rank, level by level and account by account.
+    /// Queued attempts by rank, level and account.
     fn attempts(&self) -> impl DoubleEndedIterator<Item = &Attempt<Queued>> {
         self.lanes.values().flat_map(Lane::attempts)
     }
