--- a/components/home/tests/decisions.rs
+++ b/components/home/tests/decisions.rs
@@ -1,7 +1,7 @@
-//! Decisions of home duties whose offers name no account, on drawn sequences.
+//! Decisions of home duties on random events, with offers that carry no account.
 //!
-//! The digests were recorded with the queue as it was before accounts took turns in it. They guard against any change of
-//! order, of refusals or of returning times where no accounts are shared among.
+//! The digests were recorded with the queue that preceded fair queueing. They guard against any change
+//! of order, refusals or retry times where slots aren't shared among accounts.
 
 use home::{
     Action, ColdCapacity, Config, Home, Offer, PriorStarts, ProbeResult, Suspicion, Verdict,
@@ -14,35 +14,35 @@
 const STEPS: u64 = 6_000;
 const SEEDS: u64 = 6;
 
-/// A home duty under drawn events, and what it decided.
-struct Drive {
+/// Sends random events to a home duty and hashes its decisions.
+struct Driver {
     home: Home<u64>,
     slots: u32,
     rng: SmallRng,
     now: Moment,
     running: Vec<AttemptId>,
-    is_looking: bool,
-    next: u64,
+    is_probing: bool,
+    next_seq: u64,
     digest: u64,
-    counted: [usize; 3],
+    counts: [usize; 3],
     longest_queue: u32,
 }
 
-impl Drive {
-    fn new(seed: u64, cfg: Config, bears: ColdCapacity) -> Drive {
+impl Driver {
+    fn new(seed: u64, cfg: Config, capacity: ColdCapacity) -> Driver {
         let slots = cfg.slots;
         let mut home = Home::new(BootId(1), cfg);
-        home.set_cold_capacity(bears);
-        Drive {
+        home.set_cold_capacity(capacity);
+        Driver {
             home,
             slots,
             rng: SmallRng::seed_from_u64(seed),
             now: Moment(10 * SECOND),
             running: Vec::new(),
-            is_looking: false,
-            next: 0,
+            is_probing: false,
+            next_seq: 0,
             digest: 0xcbf2_9ce4_8422_2325,
-            counted: [0; 3],
+            counts: [0; 3],
             longest_queue: 0,
         }
     }
@@ -52,23 +52,23 @@
         let now = self.now;
         let actions = match self.rng.random_range(0..1000) {
             0..500 => {
-                let offer = self.draw();
+                let offer = self.random_offer();
                 self.home.offer(now, &offer)
             }
             500..800 => self.complete(),
             800..880 => self.home.tick(now),
-            880..960 if self.is_looking => {
-                self.is_looking = false;
-                let probed = match self.rng.random_range(0..8) {
+            880..960 if self.is_probing => {
+                self.is_probing = false;
+                let result = match self.rng.random_range(0..8) {
                     0 => ProbeResult::NoAnswer,
                     1 => ProbeResult::NoBudget,
                     2 => ProbeResult::percent(500),
                     _ => ProbeResult::percent(100),
                 };
-                self.home.probe_finished(now, probed)
+                self.home.probe_finished(now, result)
             }
             960..980 => {
-                let id = id(self.rng.random_range(0..=self.next));
+                let id = id(self.rng.random_range(0..=self.next_seq));
                 if self.home.is_queued(id) && self.rng.random() {
                     self.home.cancel(now, id);
                 }
@@ -89,16 +89,16 @@
             }
         };
         for action in actions {
-            self.take_in(&action);
+            self.record(&action);
         }
         self.longest_queue = self.longest_queue.max(self.home.load(now).queued);
     }
 
-    fn draw(&mut self) -> Offer {
+    fn random_offer(&mut self) -> Offer {
         let rng = &mut self.rng;
-        self.next += 1;
+        self.next_seq += 1;
         Offer {
-            id: id(self.next),
+            id: id(self.next_seq),
             service: "s".into(),
             remaining_us: rng.random_range(20..3_000) * MILLISECOND,
             objective_us: rng
@@ -132,15 +132,15 @@
         self.home.completed(self.now, id, verdict, None)
     }
 
-    fn take_in(&mut self, action: &Action) {
+    fn record(&mut self, action: &Action) {
         match action {
             Action::Start(id) => {
                 self.running.push(*id);
-                self.counted[0] += 1;
+                self.counts[0] += 1;
             }
-            Action::Refuse(..) => self.counted[1] += 1,
-            Action::Revoke(_) => self.counted[2] += 1,
-            Action::Probe => self.is_looking = true,
+            Action::Refuse(..) => self.counts[1] += 1,
+            Action::Revoke(_) => self.counts[2] += 1,
+            Action::Probe => self.is_probing = true,
             Action::Straggles(_) => return,
         }
         for byte in format!("{action:?}").bytes() {
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn without_accounts_each_decision_is_the_recorded_one() {
+fn decisions_without_accounts_match_the_recorded_digests() {
     let plain = Config {
         slots: 4,
         adaptive: false,
@@ -167,7 +167,7 @@
         adaptive: true,
         ..plain.clone()
     };
-    let looking = Config {
+    let probing = Config {
         can_probe: true,
         ..plain.clone()
     };
@@ -175,10 +175,10 @@
         starts_per_s: 60,
         cold_us: 3 * SECOND,
     };
-    let kinds = [
+    let configs = [
         ("plain", plain.clone(), ColdCapacity::Unlimited),
         ("adaptive", adaptive, ColdCapacity::Unlimited),
-        ("looking", looking, ColdCapacity::Unlimited),
+        ("probing", probing, ColdCapacity::Unlimited),
         ("cold", plain.clone(), cold),
         (
             "crowded",
@@ -187,19 +187,19 @@
         ),
     ];
     let mut table = String::from("kind seed: started refused revoked longest-queue digest\n");
-    for (kind, cfg, bears) in kinds {
+    for (kind, cfg, capacity) in configs {
         for seed in 0..SEEDS {
-            let mut drive = Drive::new(seed, cfg.clone(), bears);
+            let mut driver = Driver::new(seed, cfg.clone(), capacity);
             for _ in 0..STEPS {
-                drive.step();
+                driver.step();
             }
-            let [started, refused, revoked] = drive.counted;
-            let (longest, digest) = (drive.longest_queue, drive.digest);
+            let [started, refused, revoked] = driver.counts;
+            let (longest, digest) = (driver.longest_queue, driver.digest);
             writeln!(
                 table,
                 "{kind} {seed}: {started} {refused} {revoked} {longest} {digest:016x}"
             )
-            .expect("a string takes all text");
+            .expect("writing to a string cannot fail");
         }
     }
     insta::assert_snapshot!(table);
--- a/components/home/tests/home.rs
+++ b/components/home/tests/home.rs
@@ -1,4 +1,4 @@
-//! The home duty's decisions, one at a time.
+//! Single decisions of a home duty: admission, queueing, limits, draining and queries.
 
 use home::{
     Action, Config, DelayEstimator, DepthTracker, Home, Offer, PriorStarts, QueryReply, Reason,
@@ -7,7 +7,7 @@
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 
 const SLOTS: u32 = 4;
-const ME: BootId = BootId(1);
+const BOOT: BootId = BootId(1);
 
 fn id(seq: u64) -> AttemptId {
     AttemptId {
@@ -35,17 +35,17 @@
     }
 }
 
-fn duty() -> Home<u64> {
+fn new_home() -> Home<u64> {
     let cfg = Config {
         slots: SLOTS,
         ..Config::default()
     };
-    Home::new(ME, cfg)
+    Home::new(BOOT, cfg)
 }
 
-/// A duty that has served long enough to have its baseline, with the moment after.
-fn warm(service_us: u64) -> (Home<u64>, Moment) {
-    let mut home = duty();
+/// A home duty that has served 100 attempts of `service_us` each, and the time after the last one.
+fn warm_home(service_us: u64) -> (Home<u64>, Moment) {
+    let mut home = new_home();
     let mut now = Moment(1);
     for seq in 1_000..1_100 {
         home.offer(now, &offer(seq));
@@ -55,7 +55,7 @@
     (home, now)
 }
 
-fn reason(actions: &[Action]) -> Option<Reason> {
+fn refusal_reason(actions: &[Action]) -> Option<Reason> {
     actions.iter().find_map(|action| match action {
         Action::Refuse(_, refusal) => Some(refusal.reason),
         _ => None,
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn no_more_run_than_there_are_slots_and_the_queue_goes_on_when_one_ends() {
-    let (mut home, now) = warm(5 * MILLISECOND);
+fn attempts_beyond_the_slots_are_queued_and_start_as_slots_become_free() {
+    let (mut home, now) = warm_home(5 * MILLISECOND);
     let started = (0..6)
         .filter(|seq| home.offer(now, &offer(*seq)) == [Action::Start(id(*seq))])
         .count();
@@ -75,31 +75,34 @@
 }
 
 #[test]
-fn an_offer_that_may_not_queue_is_refused_when_all_slots_are_taken() {
-    let (mut home, now) = warm(5 * MILLISECOND);
+fn offer_that_may_not_queue_is_refused_when_all_slots_are_taken() {
+    let (mut home, now) = warm_home(5 * MILLISECOND);
     for seq in 0..4 {
         home.offer(now, &offer(seq));
     }
     let mut immediate = offer(4);
     immediate.may_queue = false;
-    assert_eq!(reason(&home.offer(now, &immediate)), Some(Reason::Busy));
-    assert_eq!(home.query(now, id(4), ME), QueryReply::Revoked);
+    assert_eq!(
+        refusal_reason(&home.offer(now, &immediate)),
+        Some(Reason::Busy)
+    );
+    assert_eq!(home.query(now, id(4), BOOT), QueryReply::Revoked);
 }
 
 #[test]
-fn an_offer_whose_wait_would_exceed_its_time_is_refused_at_once() {
-    let (mut home, now) = warm(100 * MILLISECOND);
+fn offer_whose_expected_wait_exceeds_its_deadline_is_refused_immediately() {
+    let (mut home, now) = warm_home(100 * MILLISECOND);
     for seq in 0..12 {
         home.offer(now, &offer(seq));
     }
     let mut short = offer(12);
     short.remaining_us = 200 * MILLISECOND;
-    assert_eq!(reason(&home.offer(now, &short)), Some(Reason::Busy));
+    assert_eq!(refusal_reason(&home.offer(now, &short)), Some(Reason::Busy));
 }
 
 #[test]
-fn a_queued_attempt_past_its_deadline_is_not_started() {
-    let (mut home, now) = warm(5 * MILLISECOND);
+fn queued_attempt_past_its_deadline_is_refused() {
+    let (mut home, now) = warm_home(5 * MILLISECOND);
     for seq in 0..4 {
         home.offer(now, &offer(seq));
     }
@@ -107,48 +110,51 @@
     short.remaining_us = 50 * MILLISECOND;
     home.offer(now, &short);
     let actions = home.tick(now + 51 * MILLISECOND);
-    assert_eq!(reason(&actions), Some(Reason::Deadline));
+    assert_eq!(refusal_reason(&actions), Some(Reason::Deadline));
 }
 
 #[test]
-fn a_higher_priority_takes_the_place_of_a_lower_in_a_full_queue() {
-    let (mut home, now) = warm(MILLISECOND);
+fn higher_priority_displaces_a_lower_one_in_a_full_queue() {
+    let (mut home, now) = warm_home(MILLISECOND);
     for seq in 0..36 {
         home.offer(now, &offer(seq));
     }
-    assert_eq!(reason(&home.offer(now, &offer(36))), Some(Reason::Busy));
+    assert_eq!(
+        refusal_reason(&home.offer(now, &offer(36))),
+        Some(Reason::Busy)
+    );
     let mut urgent = offer(37);
     urgent.priority = 9;
     let actions = home.offer(now, &urgent);
-    assert_eq!(reason(&actions), Some(Reason::Busy), "{actions:?}");
-    assert_ne!(home.query(now, id(37), ME), QueryReply::Started);
+    assert_eq!(refusal_reason(&actions), Some(Reason::Busy), "{actions:?}");
+    assert_ne!(home.query(now, id(37), BOOT), QueryReply::Started);
     let actions = home.completed(now + 1, id(0), Verdict::Good, Some(0));
     assert!(
         !actions.contains(&Action::Start(id(37))),
-        "it was revoked by the question"
+        "the query revoked it"
     );
 }
 
 #[test]
-fn a_slow_down_is_seen_before_anything_completes_and_the_queue_is_handed_back() {
-    let (mut home, mut now) = warm(5 * MILLISECOND);
+fn queue_is_revoked_when_the_upstream_slows_down_before_any_completion() {
+    let (mut home, mut now) = warm_home(5 * MILLISECOND);
     for seq in 0..6 {
         home.offer(now, &offer(seq));
     }
-    let mut handed_back = Vec::new();
+    let mut revoked = Vec::new();
     for _ in 0..10 {
         now = now + 5 * MILLISECOND;
-        handed_back.extend(home.tick(now));
+        revoked.extend(home.tick(now));
     }
-    assert_eq!(handed_back, [Action::Revoke(id(4)), Action::Revoke(id(5))]);
+    assert_eq!(revoked, [Action::Revoke(id(4)), Action::Revoke(id(5))]);
     let load = home.load(now);
     assert!(load.limit < SLOTS, "{load:?}");
     assert!(load.service_us > 20 * MILLISECOND, "{load:?}");
 }
 
 #[test]
-fn the_limit_recovers_without_an_operator() {
-    let (mut home, mut now) = warm(5 * MILLISECOND);
+fn concurrency_limit_recovers_when_the_upstream_is_fast_again() {
+    let (mut home, mut now) = warm_home(5 * MILLISECOND);
     for seq in 0..20 {
         home.offer(now, &offer(seq));
         now = now + 50 * MILLISECOND;
@@ -164,85 +170,94 @@
 }
 
 #[test]
-fn a_cold_upstream_opens_in_time_even_if_nothing_completes() {
-    let mut home = duty();
+fn limit_of_a_cold_upstream_rises_without_completions() {
+    let mut home = new_home();
     home.offer(Moment(1), &offer(0));
     assert_eq!(home.load(Moment(1)).limit, SLOTS / 2);
     assert_eq!(home.load(Moment(3 * SECOND)).limit, SLOTS);
 }
 
 #[test]
-fn an_upstream_that_can_not_be_reached_is_tried_again_by_a_request_after_a_while() {
-    let (mut home, now) = warm(5 * MILLISECOND);
+fn unreachable_upstream_is_tested_with_an_offer_after_an_interval() {
+    let (mut home, now) = warm_home(5 * MILLISECOND);
     home.offer(now, &offer(0));
     let actions = home.completed(now, id(0), Verdict::NotSent, None);
-    assert_eq!(reason(&actions), Some(Reason::Down));
-    assert_eq!(reason(&home.offer(now + 1, &offer(1))), Some(Reason::Down));
+    assert_eq!(refusal_reason(&actions), Some(Reason::Down));
+    assert_eq!(
+        refusal_reason(&home.offer(now + 1, &offer(1))),
+        Some(Reason::Down)
+    );
     let later = now + SECOND;
     assert_eq!(home.offer(later, &offer(2)), [Action::Start(id(2))]);
 }
 
 #[test]
-fn a_leaving_upstream_hands_its_queue_back_and_ends_what_runs() {
-    let (mut home, now) = warm(5 * MILLISECOND);
+fn draining_upstream_revokes_its_queue_and_finishes_running_attempts() {
+    let (mut home, now) = warm_home(5 * MILLISECOND);
     for seq in 0..5 {
         home.offer(now, &offer(seq));
     }
     assert_eq!(home.start_drain(now), [Action::Revoke(id(4))]);
-    assert_eq!(reason(&home.offer(now, &offer(5))), Some(Reason::Leaving));
+    assert_eq!(
+        refusal_reason(&home.offer(now, &offer(5))),
+        Some(Reason::Leaving)
+    );
     home.completed(now, id(0), Verdict::Good, Some(0));
-    assert_eq!(home.query(now, id(0), ME), QueryReply::Answered(0));
-    assert_eq!(home.query(now, id(1), ME), QueryReply::Started);
+    assert_eq!(home.query(now, id(0), BOOT), QueryReply::Answered(0));
+    assert_eq!(home.query(now, id(1), BOOT), QueryReply::Started);
 }
 
 #[test]
-fn a_question_about_a_forgotten_attempt_is_never_answered_with_not_run() {
+fn query_about_a_forgotten_attempt_is_not_answered_with_not_run() {
     let cfg = Config {
         slots: SLOTS,
         max_records: 2,
         ..Config::default()
     };
-    let mut home: Home<u64> = Home::new(ME, cfg);
+    let mut home: Home<u64> = Home::new(BOOT, cfg);
     let mut now = Moment(1);
     for seq in 0..5 {
         home.offer(now, &offer(seq));
         now = now + MILLISECOND;
         home.completed(now, id(seq), Verdict::Good, Some(seq));
     }
-    assert_eq!(home.query(now, id(0), ME), QueryReply::Forgotten);
-    assert_eq!(reason(&home.offer(now, &offer(0))), Some(Reason::Stale));
+    assert_eq!(home.query(now, id(0), BOOT), QueryReply::Forgotten);
+    assert_eq!(
+        refusal_reason(&home.offer(now, &offer(0))),
+        Some(Reason::Stale)
+    );
 }
 
 #[test]
-fn outer_calls_leave_slots_to_deeper_ones_while_those_come() {
-    let mut depth = DepthTracker::default();
+fn slots_are_kept_for_deeper_calls_while_they_arrive() {
+    let mut depth_tracker = DepthTracker::default();
     let now = Moment(10 * SECOND);
-    assert_eq!(depth.limit(now, 0, 6), 6);
-    depth.observe(now, 4);
-    assert_eq!(depth.limit(now, 0, 6), 4);
-    assert_eq!(depth.limit(now, 3, 6), 5);
-    assert_eq!(depth.limit(now, 4, 6), 6);
-    assert_eq!(depth.limit(now + 3 * SECOND, 0, 6), 6);
+    assert_eq!(depth_tracker.limit(now, 0, 6), 6);
+    depth_tracker.observe(now, 4);
+    assert_eq!(depth_tracker.limit(now, 0, 6), 4);
+    assert_eq!(depth_tracker.limit(now, 3, 6), 5);
+    assert_eq!(depth_tracker.limit(now, 4, 6), 6);
+    assert_eq!(depth_tracker.limit(now + 3 * SECOND, 0, 6), 6);
 }
 
 #[test]
-fn the_time_a_frame_waited_is_found_without_comparing_clocks() {
-    let mut delay = DelayEstimator::default();
-    assert_eq!(delay.observe(1_000_000, Moment(5_300)), 0);
-    assert_eq!(delay.observe(1_001_000, Moment(6_250)), 0);
-    assert_eq!(delay.observe(1_002_000, Moment(3_007_250)), 3_000_000);
+fn delay_of_a_frame_is_estimated_without_synchronised_clocks() {
+    let mut estimator = DelayEstimator::default();
+    assert_eq!(estimator.observe(1_000_000, Moment(5_300)), 0);
+    assert_eq!(estimator.observe(1_001_000, Moment(6_250)), 0);
+    assert_eq!(estimator.observe(1_002_000, Moment(3_007_250)), 3_000_000);
 }
 
 #[test]
-fn an_attempt_waits_for_a_slot_for_a_part_of_its_objective() {
+fn attempt_waits_for_a_slot_for_a_fraction_of_its_objective() {
     let mut home: Home<u64> = Home::new(BootId(1), Config::default());
     let mut now = Moment(1_000);
     for seq in 0..6 {
         home.offer(now, &offer(seq));
     }
-    let mut patient = offer(6);
-    patient.objective_us = Some(182 * MILLISECOND);
-    assert_eq!(home.offer(now, &patient), []);
+    let mut with_objective = offer(6);
+    with_objective.objective_us = Some(182 * MILLISECOND);
+    assert_eq!(home.offer(now, &with_objective), []);
     now = now + 39 * MILLISECOND;
     assert_eq!(home.tick(now), []);
     now = now + 2 * MILLISECOND;
@@ -255,7 +270,7 @@
 }
 
 #[test]
-fn only_the_usable_part_of_the_slots_is_used() {
+fn only_the_usable_fraction_of_the_slots_is_used() {
     let cfg = Config {
         slots: 6,
         usable_fraction: 0.8,
@@ -269,29 +284,32 @@
         .filter(|action| matches!(action, Action::Start(_)))
         .count();
     assert_eq!(started, 4);
-    let more = home.upstream_replaced(now, 12, PriorStarts::None);
-    assert_eq!(more.len(), 2);
+    let newly_started = home.upstream_replaced(now, 12, PriorStarts::None);
+    assert_eq!(newly_started.len(), 2);
 }
 
 #[test]
-fn an_upstream_that_says_it_is_slow_gives_no_free_slot_but_lets_requests_wait() {
-    let (mut home, now) = warm(60 * MILLISECOND);
+fn slow_upstream_refuses_offers_that_may_not_queue_until_its_report_expires() {
+    let (mut home, now) = warm_home(60 * MILLISECOND);
     home.slowdown_reported(now, 400);
-    let at_once = Offer {
+    let immediate = Offer {
         may_queue: false,
         repeat: false,
         suspicion: home::Suspicion::None,
         ..offer(1)
     };
-    assert_eq!(reason(&home.offer(now, &at_once)), Some(Reason::Busy));
+    assert_eq!(
+        refusal_reason(&home.offer(now, &immediate)),
+        Some(Reason::Busy)
+    );
     assert_eq!(home.offer(now, &offer(2)), [Action::Start(id(2))]);
     let later = now + 300 * MILLISECOND;
-    let again = Offer {
+    let immediate = Offer {
         may_queue: false,
         repeat: false,
         suspicion: home::Suspicion::None,
         ..offer(3)
     };
-    assert_eq!(home.offer(later, &again), [Action::Start(id(3))]);
+    assert_eq!(home.offer(later, &immediate), [Action::Start(id(3))]);
     assert_eq!(home.load(later).slow_percent, 0);
 }
--- a/components/home/tests/overdue.rs
+++ b/components/home/tests/overdue.rs
@@ -1,4 +1,4 @@
-//! Callers that come back too late for their objective, at an upstream that is short of slots.
+//! Retries that arrive too late for their objective, at an upstream that is short of slots.
 
 use home::{Action, Config, Home, Offer, Suspicion, Verdict};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
@@ -31,11 +31,11 @@
     }
 }
 
-fn first(seq: u64) -> Offer {
+fn first_offer(seq: u64) -> Offer {
     offer(seq, OBJECTIVE_US, false)
 }
 
-fn overdue(seq: u64) -> Offer {
+fn overdue_offer(seq: u64) -> Offer {
     offer(seq, 0, true)
 }
 
@@ -46,8 +46,8 @@
     }
 }
 
-/// A home duty that knows how long runs take.
-fn warm() -> (Home<u64>, Moment) {
+/// A home duty that has run times on record.
+fn warm_home() -> (Home<u64>, Moment) {
     let cfg = Config {
         slots: SLOTS,
         adaptive: false,
@@ -56,7 +56,7 @@
     let mut home = Home::new(BootId(1), cfg);
     let mut now = Moment(SECOND);
     for seq in 1_000_000..1_000_050 {
-        home.offer(now, &first(seq));
+        home.offer(now, &first_offer(seq));
         now = now + RUN_US;
         home.completed(now, id(seq), Verdict::Good, None);
     }
@@ -68,27 +68,28 @@
 }
 
 fn refuses(actions: &[Action], seq: u64) -> bool {
-    let is_mine = |action: &Action| matches!(action, Action::Refuse(other, _) if *other == id(seq));
-    actions.iter().any(is_mine)
+    let is_refusal =
+        |action: &Action| matches!(action, Action::Refuse(other, _) if *other == id(seq));
+    actions.iter().any(is_refusal)
 }
 
 #[test]
-fn an_overdue_attempt_starts_at_once_where_a_slot_is_free() {
-    let (mut home, now) = warm();
-    assert!(starts(&home.offer(now, &overdue(1)), 1));
+fn overdue_attempt_starts_immediately_when_a_slot_is_free() {
+    let (mut home, now) = warm_home();
+    assert!(starts(&home.offer(now, &overdue_offer(1)), 1));
 }
 
 #[test]
-fn an_overdue_attempt_is_refused_at_once_where_no_slot_comes_free() {
-    let (mut home, now) = warm();
+fn overdue_attempt_is_refused_immediately_when_no_slot_is_free() {
+    let (mut home, now) = warm_home();
     for seq in 0..SLOTS as u64 {
-        home.offer(now, &first(seq));
+        home.offer(now, &first_offer(seq));
     }
-    assert!(refuses(&home.offer(now, &overdue(10)), 10));
+    assert!(refuses(&home.offer(now, &overdue_offer(10)), 10));
 }
 
 #[test]
-fn an_overdue_attempt_waits_only_as_long_as_a_probe_takes() {
+fn overdue_attempt_waits_only_as_long_as_a_probe_takes() {
     let cfg = Config {
         slots: SLOTS,
         adaptive: false,
@@ -97,19 +98,19 @@
     };
     let mut home: Home<u64> = Home::new(BootId(1), cfg);
     let now = Moment(SECOND);
-    assert_eq!(home.offer(now, &overdue(10)), [Action::Probe]);
+    assert_eq!(home.offer(now, &overdue_offer(10)), [Action::Probe]);
     assert!(!refuses(&home.tick(now + 15 * MILLISECOND), 10));
     assert!(refuses(&home.tick(now + 21 * MILLISECOND), 10));
 }
 
 #[test]
-fn an_overdue_attempt_of_the_highest_priority_stands_behind_one_that_can_be_in_time() {
-    let (mut home, now) = warm();
+fn overdue_attempt_of_the_highest_priority_is_behind_one_that_can_be_in_time() {
+    let (mut home, now) = warm_home();
     for seq in 0..SLOTS as u64 {
-        home.offer(now, &first(seq));
+        home.offer(now, &first_offer(seq));
     }
-    home.offer(now + 90 * MILLISECOND, &first(11));
-    let mut urgent = overdue(10);
+    home.offer(now + 90 * MILLISECOND, &first_offer(11));
+    let mut urgent = overdue_offer(10);
     urgent.priority = 9;
     assert!(refuses(&home.offer(now + 90 * MILLISECOND, &urgent), 10));
     let actions = home.completed(now + RUN_US, id(0), Verdict::Good, None);
@@ -117,11 +118,11 @@
 }
 
 #[test]
-fn what_is_left_of_the_objective_must_hold_a_run() {
-    // 60 ms are left for a run of 100 ms: it would be late, so it goes behind.
-    let (mut home, now) = warm();
+fn retry_is_overdue_when_less_than_a_run_is_left_of_its_objective() {
+    // 60 ms are left for a run of 100 ms: it would be late, so it is queued behind the others.
+    let (mut home, now) = warm_home();
     for seq in 0..SLOTS as u64 {
-        home.offer(now, &first(seq));
+        home.offer(now, &first_offer(seq));
     }
     let short = offer(10, 60 * MILLISECOND, true);
     assert!(refuses(&home.offer(now + 90 * MILLISECOND, &short), 10));
@@ -130,34 +131,35 @@
 }
 
 #[test]
-fn a_first_try_is_never_overdue() {
-    // A deployment that counts from each try is served as before.
-    let (mut home, now) = warm();
+fn first_try_is_never_overdue() {
+    // Deployments that count the objective from each try get no overdue attempts.
+    let (mut home, now) = warm_home();
     for seq in 0..SLOTS as u64 {
-        home.offer(now, &first(seq));
+        home.offer(now, &first_offer(seq));
     }
     let actions = home.offer(now + 90 * MILLISECOND, &offer(10, 0, false));
-    assert!(refuses(&actions, 10), "it can't wait, as before");
+    assert!(refuses(&actions, 10), "it can't wait");
 }
 
-/// What became of callers at one upstream.
+/// Answers of one upstream, by whether they met the objective.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: usize,
     late: usize,
 }
 
-/// Load pattern: first tries at `load` times what the upstream carries, for four seconds; each that is refused comes back
-/// 270 ms after its first try. `counts` says whether its objective runs from the first try.
-fn shortage(load: f64, counts: bool) -> Outcome {
-    let (mut home, begin) = warm();
+/// Load pattern: first tries at `load` times the upstream's capacity, for four seconds. Each that is
+/// refused is retried 270 ms after the first try. The objective runs from the first try if
+/// `from_first_try`, otherwise from each try.
+fn shortage(load: f64, from_first_try: bool) -> Outcome {
+    let (mut home, begin) = warm_home();
     let mut rng = SmallRng::seed_from_u64(SEED);
     let gap_us = RUN_US as f64 / f64::from(SLOTS) / load;
     let mut first_tries: BTreeMap<u64, Moment> = BTreeMap::new();
-    let mut returns: BTreeMap<(Moment, u64), Moment> = BTreeMap::new();
+    let mut retries: BTreeMap<(Moment, u64), Moment> = BTreeMap::new();
     let mut ends: BTreeMap<(Moment, u64), ()> = BTreeMap::new();
     let mut outcome = Outcome::default();
-    let (mut now, mut next, mut seq) = (begin, begin, 0);
+    let (mut now, mut next_arrival, mut seq) = (begin, begin, 0);
     while now < begin + 5 * SECOND {
         let mut actions = Vec::new();
         while let Some(((at, run), ())) = ends.first_key_value().map(|(key, ())| (*key, ())) {
@@ -173,24 +175,24 @@
             }
             actions.extend(home.completed(now, id(run), Verdict::Good, None));
         }
-        while next <= now && next < begin + 4 * SECOND {
-            first_tries.insert(seq, next);
-            actions.extend(home.offer(now, &first(seq)));
+        while next_arrival <= now && next_arrival < begin + 4 * SECOND {
+            first_tries.insert(seq, next_arrival);
+            actions.extend(home.offer(now, &first_offer(seq)));
             seq += 1;
-            next = next + (-rng.random::<f64>().ln() * gap_us) as u64;
+            next_arrival = next_arrival + (-rng.random::<f64>().ln() * gap_us) as u64;
         }
-        while let Some((key, tried)) = returns.first_key_value().map(|(key, at)| (*key, *at)) {
+        while let Some((key, first_try)) = retries.first_key_value().map(|(key, at)| (*key, *at)) {
             if key.0 > now {
                 break;
             }
-            returns.remove(&key);
-            let left_us = match counts {
-                true => OBJECTIVE_US.saturating_sub(now.since(tried)),
+            retries.remove(&key);
+            let left_us = match from_first_try {
+                true => OBJECTIVE_US.saturating_sub(now.since(first_try)),
                 false => OBJECTIVE_US,
             };
-            let again = 100_000 + key.1;
-            first_tries.insert(again, tried);
-            actions.extend(home.offer(now, &offer(again, left_us, counts)));
+            let retry = 100_000 + key.1;
+            first_tries.insert(retry, first_try);
+            actions.extend(home.offer(now, &offer(retry, left_us, from_first_try)));
         }
         actions.extend(home.tick(now));
         for action in actions {
@@ -200,8 +202,8 @@
                     ends.insert((now + run_us as u64, attempt.seq), ());
                 }
                 Action::Refuse(attempt, _) if attempt.seq < 100_000 => {
-                    let tried = first_tries[&attempt.seq];
-                    returns.insert((tried + 270 * MILLISECOND, attempt.seq), tried);
+                    let first_try = first_tries[&attempt.seq];
+                    retries.insert((first_try + 270 * MILLISECOND, attempt.seq), first_try);
                 }
                 _ => {}
             }
@@ -212,20 +214,20 @@
 }
 
 #[test]
-fn in_a_shortage_slots_go_to_first_tries() {
-    // Guards against second tries that take slots for answers that come late: counted from each try they take a third
-    // of the slots at 1.6 times the load.
+fn first_tries_get_the_slots_in_a_shortage() {
+    // Guards against retries that take slots for late answers. With objectives counted from each try, they
+    // take a third of the slots at 1.6 times the capacity.
     for load in [1.3, 1.6, 2.5] {
-        let each = shortage(load, false);
+        let from_each = shortage(load, false);
         let from_first = shortage(load, true);
         assert!(
-            from_first.in_time * 10 > each.in_time * 11,
-            "load {load}: in time {} of {each:?}",
+            from_first.in_time * 10 > from_each.in_time * 11,
+            "load {load}: {} in time, against {from_each:?}",
             from_first.in_time
         );
         assert!(
-            from_first.late * 2 < each.late,
-            "load {load}: {from_first:?} of {each:?}"
+            from_first.late * 2 < from_each.late,
+            "load {load}: {from_first:?}, against {from_each:?}"
         );
     }
 }
