--- a/components/home/tests/fair.rs
+++ b/components/home/tests/fair.rs
@@ -1,4 +1,4 @@
-//! Slots and queues of services short of capacity, shared among accounts.
+//! Fair sharing of slots and queues among client accounts, on services that are short of capacity.
 
 #[path = "fair/bound.rs"]
 mod bound;
--- a/components/home/tests/fair/duty.rs
+++ b/components/home/tests/fair/duty.rs
@@ -1,11 +1,11 @@
-//! A home duty of accounts, and offers to it.
+//! A home duty, and offers with accounts.
 
 use home::{Action, Config, Home, Offer, Suspicion, Verdict};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
 
 pub const SLOTS: u32 = 2;
 pub const RUN_US: u64 = 100 * MILLISECOND;
-pub const BEGIN: Moment = Moment(10 * SECOND);
+pub const START: Moment = Moment(10 * SECOND);
 
 pub fn id(seq: u64) -> AttemptId {
     AttemptId {
@@ -33,23 +33,24 @@
     }
 }
 
-/// A duty that knows how long runs of each class take: (repeatable, microseconds).
-pub fn warm(slots: u32, classes: &[(bool, u64)]) -> (Home<u64>, Moment) {
+/// A home duty with run times of each class on record, and the time after them. A class is given as
+/// (repeatable, run time in microseconds).
+pub fn warm_home(slots: u32, classes: &[(bool, u64)]) -> (Home<u64>, Moment) {
     let cfg = Config {
         slots,
         adaptive: false,
         ..Config::default()
     };
     let mut home = Home::new(BootId(1), cfg);
-    let mut now = BEGIN;
+    let mut now = START;
     for (repeatable, run_us) in classes {
         for _ in 0..20 {
             let seq = now.0;
-            let first = Offer {
+            let warm_up = Offer {
                 repeatable: *repeatable,
                 ..offer(seq, "warm")
             };
-            home.offer(now, &first);
+            home.offer(now, &warm_up);
             now = now + *run_us;
             home.completed(now, id(seq), Verdict::Good, None);
         }
--- a/components/home/tests/fair/one_queue.rs
+++ b/components/home/tests/fair/one_queue.rs
@@ -1,5 +1,5 @@
-//! Without accounts, or with one, attempts start and are refused in the order of one queue: by priority, level and
-//! deadline. Compared on drawn sequences with a queue that has this order and nothing else.
+//! Without accounts, or with only one, attempts start and are refused in the order of a single queue: by
+//! priority, level and deadline. Compared on random sequences with a reference queue of this order.
 
 use crate::duty::{id, offer};
 use home::{Action, Config, Home, Offer, Verdict};
@@ -9,27 +9,27 @@
 use std::collections::BTreeSet;
 
 const SLOTS: usize = 2;
-const QUEUE: usize = 8 * SLOTS;
+const MAX_QUEUED: usize = 8 * SLOTS;
 
-/// What a duty decides, in order: starts and refusals.
+/// A decision of a home duty about the attempt of this number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Decided {
-    Starts(u64),
-    Refuses(u64),
+enum Decision {
+    Start(u64),
+    Refuse(u64),
 }
 
-/// One queue.
+/// The reference queue.
 #[derive(Debug, Default)]
-struct OneQueue {
-    waiting: BTreeSet<(Reverse<u8>, Reverse<u32>, Moment, u64)>,
+struct ReferenceQueue {
+    queued: BTreeSet<(Reverse<u8>, Reverse<u32>, Moment, u64)>,
     running: BTreeSet<u64>,
 }
 
-impl OneQueue {
-    fn offer(&mut self, now: Moment, offer: &Offer) -> Vec<Decided> {
+impl ReferenceQueue {
+    fn offer(&mut self, now: Moment, offer: &Offer) -> Vec<Decision> {
         let seq = offer.id.seq;
         let priority = Reverse(offer.priority);
-        let place = (
+        let entry = (
             priority,
             Reverse(offer.level),
             now + offer.remaining_us,
@@ -37,41 +37,41 @@
         );
         if self.running.len() < SLOTS {
             self.running.insert(seq);
-            return vec![Decided::Starts(seq)];
+            return vec![Decision::Start(seq)];
         }
         if !offer.may_queue {
-            return vec![Decided::Refuses(seq)];
+            return vec![Decision::Refuse(seq)];
         }
-        if self.waiting.len() < QUEUE {
-            self.waiting.insert(place);
+        if self.queued.len() < MAX_QUEUED {
+            self.queued.insert(entry);
             return Vec::new();
         }
-        let last = *self.waiting.last().expect("the queue is full");
+        let last = *self.queued.last().expect("the queue is full");
         if last.0 <= priority {
-            return vec![Decided::Refuses(seq)];
+            return vec![Decision::Refuse(seq)];
         }
-        self.waiting.remove(&last);
-        self.waiting.insert(place);
-        vec![Decided::Refuses(last.3)]
+        self.queued.remove(&last);
+        self.queued.insert(entry);
+        vec![Decision::Refuse(last.3)]
     }
 
-    fn completed(&mut self, seq: u64) -> Vec<Decided> {
+    fn completed(&mut self, seq: u64) -> Vec<Decision> {
         self.running.remove(&seq);
-        let Some((.., next)) = self.waiting.pop_first() else {
+        let Some((.., next)) = self.queued.pop_first() else {
             return Vec::new();
         };
         self.running.insert(next);
-        vec![Decided::Starts(next)]
+        vec![Decision::Start(next)]
     }
 }
 
-fn decided(actions: &[Action]) -> Vec<Decided> {
-    let decided = |action: &Action| match action {
-        Action::Start(id) => Some(Decided::Starts(id.seq)),
-        Action::Refuse(id, _) => Some(Decided::Refuses(id.seq)),
+fn decisions(actions: &[Action]) -> Vec<Decision> {
+    let decisions = |action: &Action| match action {
+        Action::Start(id) => Some(Decision::Start(id.seq)),
+        Action::Refuse(id, _) => Some(Decision::Refuse(id.seq)),
         _ => None,
     };
-    actions.iter().filter_map(decided).collect()
+    actions.iter().filter_map(decisions).collect()
 }
 
 #[derive(Debug, Clone)]
@@ -109,7 +109,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
     #[test]
-    fn without_accounts_and_with_one_alone_the_order_is_that_of_one_queue(
+    fn order_without_accounts_or_with_only_one_is_that_of_a_single_queue(
         steps in prop::collection::vec(step(), 1..200),
         account in prop::option::of(Just("one")),
     ) {
@@ -119,7 +119,7 @@
             ..Config::default()
         };
         let mut home: Home<u64> = Home::new(BootId(1), cfg);
-        let mut queue = OneQueue::default();
+        let mut reference = ReferenceQueue::default();
         let mut now = Moment(10 * SECOND);
         for (seq, step) in steps.into_iter().enumerate() {
             now = now + MILLISECOND;
@@ -134,18 +134,18 @@
                         account: account.map(Into::into),
                         ..offer(seq as u64, "one")
                     };
-                    (home.offer(now, &offer), queue.offer(now, &offer))
+                    (home.offer(now, &offer), reference.offer(now, &offer))
                 }
                 Step::Complete(pick) => {
-                    let picked = pick % queue.running.len().max(1);
-                    let Some(seq) = queue.running.iter().nth(picked).copied() else {
+                    let picked = pick % reference.running.len().max(1);
+                    let Some(seq) = reference.running.iter().nth(picked).copied() else {
                         continue;
                     };
                     let actions = home.completed(now, id(seq), Verdict::Good, None);
-                    (actions, queue.completed(seq))
+                    (actions, reference.completed(seq))
                 }
             };
-            prop_assert_eq!(decided(&actions), expected);
+            prop_assert_eq!(decisions(&actions), expected);
         }
     }
 }
--- a/components/home/tests/fair/world.rs
+++ b/components/home/tests/fair/world.rs
@@ -1,5 +1,6 @@
-//! A service of several upstreams under a drawn load of accounts: home duties as they are, entry nodes that ask for a free
-//! slot up to five times before they queue, and no network.
+//! Simulation of one service with several upstreams under a random load of accounts. The home duties are the
+//! real ones; entry nodes offer a request for a free slot up to five times before they let it queue; there is
+//! no network.
 
 use home::{Action, Config, Home, Offer, Suspicion, Verdict};
 use names::{AttemptId, BootId, Moment, MILLISECOND, SECOND};
@@ -8,18 +9,18 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Slots of an upstream.
+/// Slots per upstream.
 pub const SLOTS: u32 = 12;
 const IMMEDIATE_OFFERS: usize = 5;
 const QUEUE_OFFERS: usize = 3;
-const TICK_US: u64 = 5 * MILLISECOND;
+const TICK_INTERVAL_US: u64 = 5 * MILLISECOND;
 const WARM_UP_US: u64 = 2 * SECOND;
-const BEGIN: Moment = Moment(10 * SECOND);
+const START: Moment = Moment(10 * SECOND);
 
-/// Requests of one kind.
+/// Properties of a kind of requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
-    /// Usual run time.
+    /// Mean run time.
     pub run_us: u64,
     pub objective_us: u64,
     pub deadline_us: u64,
@@ -35,94 +36,95 @@
     pub per_s: f64,
 }
 
-/// What is played.
+/// The load of one simulation.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub homes: usize,
     pub sources: Vec<Source>,
-    pub lasts_us: u64,
+    pub duration_us: u64,
     pub seed: u64,
-    /// The account whose requests come from several entry nodes, and how many those are.
+    /// The account whose requests are sent by several entry nodes, and their number.
     pub spread: (usize, u64),
 }
 
-/// Whether the home duties are told the accounts.
+/// Whether offers carry the account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Order {
     /// The order without accounts.
     OneQueue,
     /// Start-time fair queueing.
-    Turns,
+    Fair,
 }
 
-/// What became of requests.
+/// Numbers of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tally {
-    pub asked: u64,
+    pub sent: u64,
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
 }
 
 impl Tally {
-    /// Part answered in time.
-    pub fn part(&self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+    /// Fraction answered in time.
+    pub fn in_time_fraction(&self) -> f64 {
+        self.in_time as f64 / self.sent.max(1) as f64
     }
 
     fn add(&mut self, other: Tally) {
-        self.asked += other.asked;
+        self.sent += other.sent;
         self.in_time += other.in_time;
         self.late += other.late;
         self.refused += other.refused;
     }
 }
 
-/// What became of a load, by account and priority.
+/// Outcomes of a load by account and priority.
 #[derive(Debug, Default)]
 pub struct Outcome(pub BTreeMap<(usize, u8), Tally>);
 
 impl Outcome {
-    /// All requests that `are` so, by account and priority.
-    pub fn of(&self, are: impl Fn(usize, u8) -> bool) -> Tally {
+    /// Sum over the accounts and priorities that satisfy the predicate.
+    pub fn of(&self, predicate: impl Fn(usize, u8) -> bool) -> Tally {
         let mut sum = Tally::default();
         for ((account, priority), tally) in &self.0 {
-            if are(*account, *priority) {
+            if predicate(*account, *priority) {
                 sum.add(*tally);
             }
         }
         sum
     }
 
-    /// The part of each account that was answered in time, the least first.
-    pub fn parts(&self, are: impl Fn(usize, u8) -> bool) -> Vec<f64> {
+    /// Fraction of each account's requests that were answered in time, in ascending order.
+    pub fn in_time_fractions(&self, predicate: impl Fn(usize, u8) -> bool) -> Vec<f64> {
         let accounts: std::collections::BTreeSet<usize> =
             self.0.keys().map(|(account, _)| *account).collect();
-        let mut parts: Vec<f64> = accounts
+        let mut fractions: Vec<f64> = accounts
             .into_iter()
-            .map(|account| self.of(|other, priority| other == account && are(other, priority)))
-            .filter(|tally| tally.asked > 0)
-            .map(|tally| tally.part())
+            .map(|account| {
+                self.of(|other, priority| other == account && predicate(other, priority))
+            })
+            .filter(|tally| tally.sent > 0)
+            .map(|tally| tally.in_time_fraction())
             .collect();
-        parts.sort_by(f64::total_cmp);
-        parts
+        fractions.sort_by(f64::total_cmp);
+        fractions
     }
 }
 
-/// The mean.
-pub fn mean(parts: &[f64]) -> f64 {
-    parts.iter().sum::<f64>() / parts.len().max(1) as f64
+pub fn mean(fractions: &[f64]) -> f64 {
+    fractions.iter().sum::<f64>() / fractions.len().max(1) as f64
 }
 
-/// The mean of the worst tenth, of parts in order.
-pub fn worst_tenth(parts: &[f64]) -> f64 {
-    mean(&parts[..parts.len().div_ceil(10)])
+/// The mean of the lowest tenth of values in ascending order.
+pub fn worst_tenth(fractions: &[f64]) -> f64 {
+    mean(&fractions[..fractions.len().div_ceil(10)])
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(usize),
-    Ends(usize, AttemptId),
+    Arrival(usize),
+    Completion(usize, AttemptId),
     Tick,
 }
 
@@ -131,68 +133,69 @@
     source: Source,
     sent: Moment,
     run_us: u64,
+    /// Homes that refused the request when it was offered for a free slot.
     refused_by: Vec<usize>,
-    closed: Vec<usize>,
+    /// Homes that refused the request or revoked it from their queue.
+    queue_refused_by: Vec<usize>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     load: &'a Load,
-    way: Way,
+    order: Order,
     homes: Vec<Home<u64>>,
-    /// Draws what is asked and how long it runs, so that both ways see the same load.
-    asked: SmallRng,
-    /// Draws whom entry nodes ask.
-    chosen: SmallRng,
+    /// For arrivals and run times, so that both orders get the same load.
+    load_rng: SmallRng,
+    /// For the homes that entry nodes choose.
+    choice_rng: SmallRng,
     now: Moment,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     requests: Vec<Request>,
     attempts: HashMap<AttemptId, (usize, bool)>,
-    next: u64,
+    next_seq: u64,
     outcome: Outcome,
 }
 
-/// Plays a load.
-pub fn play(load: &Load, way: Way) -> Outcome {
+pub fn simulate(load: &Load, order: Order) -> Outcome {
     let cfg = Config {
         slots: SLOTS,
         adaptive: false,
         ..Config::default()
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         load,
-        way,
+        order,
         homes: (0..load.homes)
             .map(|_| Home::new(BootId(1), cfg.clone()))
             .collect(),
-        asked: SmallRng::seed_from_u64(load.seed),
-        chosen: SmallRng::seed_from_u64(load.seed + 1),
-        now: BEGIN,
+        load_rng: SmallRng::seed_from_u64(load.seed),
+        choice_rng: SmallRng::seed_from_u64(load.seed + 1),
+        now: START,
         events: BinaryHeap::new(),
         requests: Vec::new(),
         attempts: HashMap::new(),
-        next: 0,
+        next_seq: 0,
         outcome: Outcome::default(),
     };
     for source in 0..load.sources.len() {
-        world.schedule_arrival(source);
+        simulation.schedule_arrival(source);
     }
-    world.at(BEGIN, Event::Tick);
-    world.run();
-    world.outcome
+    simulation.schedule(START, Event::Tick);
+    simulation.run();
+    simulation.outcome
 }
 
-impl World<'_> {
-    fn at(&mut self, moment: Moment, event: Event) {
-        self.next += 1;
-        self.events.push(Reverse((moment, self.next, event)));
+impl Simulation<'_> {
+    fn schedule(&mut self, moment: Moment, event: Event) {
+        self.next_seq += 1;
+        self.events.push(Reverse((moment, self.next_seq, event)));
     }
 
     fn schedule_arrival(&mut self, source: usize) {
         let per_us = self.load.sources[source].per_s / SECOND as f64;
-        let gap_us = -self.asked.random::<f64>().max(1e-12).ln() / per_us;
+        let gap_us = -self.load_rng.random::<f64>().max(1e-12).ln() / per_us;
         let moment = self.now + gap_us as u64;
-        if moment < BEGIN + self.load.lasts_us {
-            self.at(moment, Event::Arrives(source));
+        if moment < START + self.load.duration_us {
+            self.schedule(moment, Event::Arrival(source));
         }
     }
 
@@ -200,78 +203,79 @@
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.now = now;
             match event {
-                Event::Arrives(source) => {
+                Event::Arrival(source) => {
                     self.schedule_arrival(source);
-                    let usual_us = self.load.sources[source].kind.run_us as f64;
+                    let mean_run_us = self.load.sources[source].kind.run_us as f64;
                     let request = Request {
                         source: self.load.sources[source],
                         sent: now,
-                        run_us: (usual_us * self.asked.random_range(0.6..1.4)) as u64,
+                        run_us: (mean_run_us * self.load_rng.random_range(0.6..1.4)) as u64,
                         refused_by: Vec::new(),
-                        closed: Vec::new(),
+                        queue_refused_by: Vec::new(),
                     };
                     self.requests.push(request);
-                    self.count(self.requests.len() - 1, |tally| tally.asked += 1);
+                    self.count(self.requests.len() - 1, |tally| tally.sent += 1);
                     self.offer(self.requests.len() - 1);
                 }
-                Event::Ends(home, id) => self.ended(home, id),
+                Event::Completion(home, id) => self.ended(home, id),
                 Event::Tick => {
                     for home in 0..self.homes.len() {
                         let actions = self.homes[home].tick(now);
                         self.perform(home, actions);
                     }
                     let is_over = self.homes.iter().all(Home::is_idle);
-                    if !is_over || now < BEGIN + self.load.lasts_us {
-                        self.at(now + TICK_US, Event::Tick);
+                    if !is_over || now < START + self.load.duration_us {
+                        self.schedule(now + TICK_INTERVAL_US, Event::Tick);
                     }
                 }
             }
         }
     }
 
-    /// Makes the next offer of a request, or gives up.
+    /// Makes the next offer of a request, or counts it as refused.
     fn offer(&mut self, index: usize) {
         let request = &self.requests[index];
         let left_us = (request.sent + request.source.kind.deadline_us).since(self.now);
-        let open = |taken: &[usize]| -> Vec<usize> {
+        let homes_without = |excluded: &[usize]| -> Vec<usize> {
             let homes = 0..self.homes.len();
-            homes.filter(|home| !taken.contains(home)).collect()
+            homes.filter(|home| !excluded.contains(home)).collect()
         };
-        let unasked = open(&request.refused_by);
-        let is_immediate = request.closed.is_empty()
+        let untried = homes_without(&request.refused_by);
+        let is_immediate = request.queue_refused_by.is_empty()
             && request.refused_by.len() < IMMEDIATE_OFFERS
-            && !unasked.is_empty();
-        let to = if is_immediate {
-            Some(unasked[self.chosen.random_range(0..unasked.len())])
+            && !untried.is_empty();
+        let target = if is_immediate {
+            Some(untried[self.choice_rng.random_range(0..untried.len())])
         } else {
-            let open = open(&request.closed);
+            let candidates = homes_without(&request.queue_refused_by);
             let queued = |home: &usize| self.homes[*home].load(self.now).queued;
-            open.into_iter().min_by_key(queued)
+            candidates.into_iter().min_by_key(queued)
         };
-        let to = to.filter(|_| left_us > 0 && request.closed.len() < QUEUE_OFFERS);
-        let Some(to) = to else {
+        let target =
+            target.filter(|_| left_us > 0 && request.queue_refused_by.len() < QUEUE_OFFERS);
+        let Some(target) = target else {
             self.count(index, |tally| tally.refused += 1);
             return;
         };
         let offer = self.offer_of(index, left_us, !is_immediate);
         self.attempts.insert(offer.id, (index, is_immediate));
-        let actions = self.homes[to].offer(self.now, &offer);
-        self.perform(to, actions);
+        let actions = self.homes[target].offer(self.now, &offer);
+        self.perform(target, actions);
     }
 
     fn offer_of(&mut self, index: usize, left_us: u64, may_queue: bool) -> Offer {
-        self.next += 1;
+        self.next_seq += 1;
         let Source { account, kind, .. } = self.requests[index].source;
-        let (spread, entries) = self.load.spread;
-        let entry = match account == spread {
-            true => self.next % entries,
+        let (spread_account, entries) = self.load.spread;
+        let entry = match account == spread_account {
+            true => self.next_seq % entries,
             false => 0,
         };
         let waited_us = self.now.since(self.requests[index].sent);
         Offer {
             id: AttemptId {
                 boot: BootId(9 + entry),
-                seq: self.next,
+                seq: self.next_seq,
             },
             service: "s".into(),
             remaining_us: left_us,
@@ -285,7 +289,7 @@
             returned: false,
             report_straggler: false,
             known_limit: None,
-            account: (self.way == Way::Turns).then(|| format!("account-{account}").into()),
+            account: (self.order == Order::Fair).then(|| format!("account-{account}").into()),
         }
     }
 
@@ -294,8 +298,8 @@
             match action {
                 Action::Start(id) => {
                     let (index, _) = self.attempts[&id];
-                    let end = self.now + self.requests[index].run_us;
-                    self.at(end, Event::Ends(home, id));
+                    let ends_at = self.now + self.requests[index].run_us;
+                    self.schedule(ends_at, Event::Completion(home, id));
                 }
                 Action::Refuse(id, _) | Action::Revoke(id) => {
                     let (index, is_immediate) = self.attempts[&id];
@@ -303,7 +307,7 @@
                     if is_immediate {
                         request.refused_by.push(home);
                     } else {
-                        request.closed.push(home);
+                        request.queue_refused_by.push(home);
                     }
                     self.offer(index);
                 }
@@ -325,12 +329,12 @@
         self.perform(home, actions);
     }
 
-    /// Counts what became of a request, unless it was sent before the homes knew the usual times.
-    fn count(&mut self, index: usize, count: impl Fn(&mut Tally)) {
+    /// Counts a request, unless it was sent before the homes had typical run times.
+    fn count(&mut self, index: usize, record: impl Fn(&mut Tally)) {
         let Request { source, sent, .. } = &self.requests[index];
-        if *sent >= BEGIN + WARM_UP_US {
+        if *sent >= START + WARM_UP_US {
             let key = (source.account, source.kind.priority);
-            count(self.outcome.0.entry(key).or_default());
+            record(self.outcome.0.entry(key).or_default());
         }
     }
 }
