--- a/components/home/tests/fair/closed_loop.rs
+++ b/components/home/tests/fair/closed_loop.rs
@@ -1,5 +1,5 @@
-//! Closed loops: accounts that send their next_seq request after an answer. An account with a backlog must not
-//! starve behind accounts that have one request at a time and nothing queued when they send the next_seq.
+//! Closed loops: accounts that send their next request after an answer. An account with a backlog must not
+//! starve behind accounts that have one request at a time and nothing queued when they send the next.
 
 use crate::duty::{id, offer, started, warm_home};
 use home::{Action, Home, Offer, Verdict};
--- a/components/home/tests/fair/world.rs
+++ b/components/home/tests/fair/world.rs
@@ -84,11 +84,11 @@
 pub struct Outcome(pub BTreeMap<(usize, u8), Tally>);
 
 impl Outcome {
-    /// Sum over the accounts and priorities that satisfy the predicate.
-    pub fn of(&self, predicate: impl Fn(usize, u8) -> bool) -> Tally {
+    /// Sum over the accounts and priorities that `include` accepts.
+    pub fn of(&self, include: impl Fn(usize, u8) -> bool) -> Tally {
         let mut sum = Tally::default();
         for ((account, priority), tally) in &self.0 {
-            if predicate(*account, *priority) {
+            if include(*account, *priority) {
                 sum.add(*tally);
             }
         }
@@ -96,14 +96,12 @@
     }
 
     /// Fraction of each account's requests that were answered in time, in ascending order.
-    pub fn in_time_fractions(&self, predicate: impl Fn(usize, u8) -> bool) -> Vec<f64> {
+    pub fn in_time_fractions(&self, include: impl Fn(usize, u8) -> bool) -> Vec<f64> {
         let accounts: std::collections::BTreeSet<usize> =
             self.0.keys().map(|(account, _)| *account).collect();
         let mut fractions: Vec<f64> = accounts
             .into_iter()
-            .map(|account| {
-                self.of(|other, priority| other == account && predicate(other, priority))
-            })
+            .map(|account| self.of(|other, priority| other == account && include(other, priority)))
             .filter(|tally| tally.sent > 0)
             .map(|tally| tally.in_time_fraction())
             .collect();
@@ -133,7 +131,7 @@
     source: Source,
     sent: Moment,
     run_us: u64,
-    /// Homes that refused the request when it was offered for a free slot.
+    /// Homes that refused the request when it was offered for a free slot only.
     refused_by: Vec<usize>,
     /// Homes that refused the request or revoked it from their queue.
     queue_refused_by: Vec<usize>,
@@ -330,11 +328,11 @@
     }
 
     /// Counts a request, unless it was sent before the homes had typical run times.
-    fn count(&mut self, index: usize, record: impl Fn(&mut Tally)) {
+    fn count(&mut self, index: usize, count: impl Fn(&mut Tally)) {
         let Request { source, sent, .. } = &self.requests[index];
         if *sent >= START + WARM_UP_US {
             let key = (source.account, source.kind.priority);
-            record(self.outcome.0.entry(key).or_default());
+            count(self.outcome.0.entry(key).or_default());
         }
     }
 }
--- a/components/home/tests/home.rs
+++ b/components/home/tests/home.rs
@@ -43,7 +43,7 @@
     Home::new(BOOT, cfg)
 }
 
-/// A home duty that has served 100 attempts of `service_us` each, and the time after the last one.
+/// A home duty that has served enough attempts of `service_us` to have a baseline, and the time after them.
 fn warm_home(service_us: u64) -> (Home<u64>, Moment) {
     let mut home = new_home();
     let mut now = Moment(1);
