--- a/components/daemon/src/callers/reading.rs
+++ b/components/daemon/src/callers/reading.rs
@@ -263,7 +263,7 @@
 fn may_run_beside(in_force: Option<Arc<InForce>>, call: &CallerRequest) -> bool {
     let route = in_force
         .as_ref()
-        .and_then(|in_force| in_force.declarations.fixed_route(&call.host, &call.path));
+        .and_then(|in_force| in_force.declarations.find_route(&call.host, &call.path));
     route.is_some_and(|route| route.treatment.repeatable)
 }
 
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -88,14 +88,14 @@
     };
     let waited_ms = node.now().since(call.received) / MILLISECOND;
     call.deadline_ms = call.deadline_ms.map(|ms| ms.saturating_sub(waited_ms));
-    let fixed = in_force.declarations.fixed_route(&call.host, &call.path);
+    let fixed = in_force.declarations.find_route(&call.host, &call.path);
     if let Some(route) = fixed.cloned() {
         let tried = returned::recognise(node, &call);
         let outcome = by_route(node, &in_force, &route, call, tried, hung_up).await;
         returned::note(node, tried, &outcome);
         return outcome;
     }
-    let Some(service) = in_force.declarations.route(&call.host, &call.path) else {
+    let Some(service) = in_force.declarations.find_service(&call.host, &call.path) else {
         let revision = in_force.configuration.head.revision;
         audit::no_route(&call.id, &call.host, &call.path, revision);
         return refused(Reason::NoService, 0);
--- a/components/declarations/src/model.rs
+++ b/components/declarations/src/model.rs
@@ -72,13 +72,16 @@
 
 impl Declarations {
     /// The service of a request, by its host without port, else by its path.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Service> {
-        let name = self.hosts.get(host).or_else(|| self.route_by_path(path))?;
+    pub fn find_service(&self, host: &str, path: &str) -> Option<&Service> {
+        let name = self
+            .hosts
+            .get(host)
+            .or_else(|| self.service_by_path(path))?;
         self.services.get(name)
     }
 
     /// The route with the longest path that begins `path`.
-    pub fn fixed_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.path))
     }
@@ -90,7 +93,7 @@
             .map_or(&[], |group| &group.upstreams)
     }
 
-    fn route_by_path(&self, path: &str) -> Option<&Name> {
+    fn service_by_path(&self, path: &str) -> Option<&Name> {
         self.prefixes
             .iter()
             .find(|(prefix, _)| matches_prefix(path, prefix))
--- a/components/declarations/tests/declarations.rs
+++ b/components/declarations/tests/declarations.rs
@@ -42,7 +42,7 @@
     let found = check(&bundle(&services, POLICY, "")).expect("good declarations");
     let route = |host, path| {
         found
-            .route(host, path)
+            .find_service(host, path)
             .map(|service| service.name.to_string())
     };
     assert_eq!(route("prices.example", "/x").as_deref(), Some("prices"));
@@ -162,7 +162,7 @@
 fn the_route_with_the_longest_path_of_a_host_is_taken() {
     let found = check(&routes(ROUTES)).expect("good declarations");
     let name = |host, path| {
-        let route = found.fixed_route(host, path);
+        let route = found.find_route(host, path);
         route.map(|route| route.name.to_string())
     };
     assert_eq!(name("market.example", "/bids/7").as_deref(), Some("split"));
