--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -230,7 +230,7 @@
     match registered.and_then(|registered| registered.cold) {
         Some(cold) => ColdCapacity::Limited {
             starts_per_s: node.cfg.cold.most(cold.starts_per_s),
-            cold_us: cold.lasts_ms * MILLISECOND,
+            cold_us: cold.duration_ms * MILLISECOND,
         },
         None => ColdCapacity::Unlimited,
     }
--- a/components/declarations/src/check.rs
+++ b/components/declarations/src/check.rs
@@ -4,7 +4,7 @@
 use crate::check_accounts;
 use crate::check_routes;
 use crate::examples;
-use crate::model::{Declarations, Group, HallMeasuring, Service};
+use crate::model::{Declarations, Group, MeasuringBudget, Service};
 use crate::steps;
 use errors::{Problem, Problems};
 use names::Name;
@@ -86,7 +86,7 @@
     for (section, name) in reader.named("hall") {
         let messages_per_s = budget(reader, &section, "measuring_messages_per_s");
         let slot_us_per_s = budget(reader, &section, "measuring_slot_us_per_s");
-        let measuring = HallMeasuring {
+        let measuring = MeasuringBudget {
             messages_per_s,
             slot_us_per_s,
         };
--- a/components/declarations/src/check_routes.rs
+++ b/components/declarations/src/check_routes.rs
@@ -1,8 +1,8 @@
 //! The check of routes, registered services and limits.
 
-use crate::first::are_first;
+use crate::first::first_occurrences;
 use crate::model::Declarations;
-use crate::route::{CallerLimits, ColdStart, Registered, Route, Share};
+use crate::route::{CallerLimits, ColdStart, RegisteredService, Route, Share};
 use names::Name;
 use policy::Treatment;
 use sections::Reader;
@@ -36,7 +36,7 @@
         let Some(health_path) = health_path else {
             continue;
         };
-        let service = Registered {
+        let service = RegisteredService {
             name: name.clone(),
             health_path,
             max_connections,
@@ -47,12 +47,12 @@
 }
 
 fn read_cold(reader: &mut Reader, section: &str) -> Option<ColdStart> {
-    let lasts_ms = reader.number_or(section, "cold_ms", 0..=MOST_MS, 0);
+    let duration_ms = reader.number_or(section, "cold_ms", 0..=MOST_MS, 0);
     reader.text(section, "cold_starts_per_s")?;
     let starts_per_s = reader.number_or(section, "cold_starts_per_s", 0..=MOST_COLD_STARTS, 0);
     Some(ColdStart {
         starts_per_s: starts_per_s as u32,
-        lasts_ms,
+        duration_ms,
     })
 }
 
@@ -64,7 +64,7 @@
         }
     }
     let places = read.iter().map(|(_, route)| (&route.host, &route.path));
-    let firsts = are_first(places);
+    let firsts = first_occurrences(places);
     for ((section, route), is_first) in read.into_iter().zip(firsts) {
         if !is_first {
             reader.problem(&section, "path", &route.path, "the path of another route");
--- a/components/declarations/src/first.rs
+++ b/components/declarations/src/first.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 
 /// For each key, whether no equal one stands before it.
-pub fn are_first<K: Hash + Eq>(keys: impl IntoIterator<Item = K>) -> Vec<bool> {
+pub fn first_occurrences<K: Hash + Eq>(keys: impl IntoIterator<Item = K>) -> Vec<bool> {
     let mut seen = HashSet::new();
     keys.into_iter().map(|key| seen.insert(key)).collect()
 }
--- a/components/declarations/src/lib.rs
+++ b/components/declarations/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use bundle::{Bundle, MAX_BUNDLE_BYTES, SERVICES_FILE};
 pub use check::check;
-pub use first::are_first;
-pub use model::{Declarations, Group, HallMeasuring, Service};
-pub use route::{CallerLimits, ColdStart, Registered, Route, Share};
+pub use first::first_occurrences;
+pub use model::{Declarations, Group, MeasuringBudget, Service};
+pub use route::{CallerLimits, ColdStart, RegisteredService, Route, Share};
 pub use steps::{check_incremental, BytesRead, IncrementalCheck, RouteSections};
--- a/components/declarations/src/model.rs
+++ b/components/declarations/src/model.rs
@@ -1,6 +1,6 @@
 //! Checked declarations, ready for use.
 
-use crate::route::{CallerLimits, Registered, Route};
+use crate::route::{CallerLimits, RegisteredService, Route};
 use crate::steps::RouteSections;
 use accounts::Accounts;
 use names::Name;
@@ -38,7 +38,7 @@
 
 /// What one hall may spend on measuring.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct HallMeasuring {
+pub struct MeasuringBudget {
     /// Messages per second.
     pub messages_per_s: f64,
     /// Slot time per second, in microseconds.
@@ -53,13 +53,13 @@
     /// Groups by name.
     pub groups: BTreeMap<Name, Group>,
     /// Measuring budgets by hall.
-    pub halls: BTreeMap<Name, HallMeasuring>,
+    pub halls: BTreeMap<Name, MeasuringBudget>,
     /// Services by the value of `Host`.
     pub hosts: HashMap<String, Name>,
     /// Services by path prefix, the longest first.
     pub prefixes: Vec<(String, Name)>,
     /// Services whose upstreams register themselves.
-    pub registered: BTreeMap<Name, Registered>,
+    pub registered: BTreeMap<Name, RegisteredService>,
     /// Routes by host, the longest path first.
     pub routes: HashMap<String, Vec<Arc<Route>>>,
     /// The sections of these routes, for the check of the next set.
--- a/components/declarations/src/route.rs
+++ b/components/declarations/src/route.rs
@@ -34,7 +34,7 @@
 
 /// A service whose upstreams register themselves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Registered {
+pub struct RegisteredService {
     /// Its name.
     pub name: Name,
     /// Path of the upstreams' health check.
@@ -51,7 +51,7 @@
     /// Requests a second.
     pub starts_per_s: u32,
     /// How long, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
 }
 
 /// Bounds on what callers send.
--- a/components/declarations/src/steps.rs
+++ b/components/declarations/src/steps.rs
@@ -6,7 +6,7 @@
 
 use crate::bundle::{Bundle, SERVICES_FILE};
 use crate::check::check;
-use crate::first::are_first;
+use crate::first::first_occurrences;
 use crate::model::Declarations;
 use crate::plain::{self, ROUTE};
 use crate::route::Route;
@@ -134,7 +134,7 @@
             routes.push(route.clone());
         }
         for routes in declarations.routes.values_mut() {
-            let firsts = are_first(routes.iter().map(|route| &route.path));
+            let firsts = first_occurrences(routes.iter().map(|route| &route.path));
             if firsts.contains(&false) {
                 return None;
             }
--- a/components/declarations/tests/plain.rs
+++ b/components/declarations/tests/plain.rs
@@ -5,7 +5,7 @@
 //! and the check of the whole compared the paths of a host pair by pair.
 
 use declarations::{
-    are_first, check, Bundle, BytesRead, Declarations, IncrementalCheck, SERVICES_FILE,
+    check, first_occurrences, Bundle, BytesRead, Declarations, IncrementalCheck, SERVICES_FILE,
 };
 use errors::Problems;
 use proptest::prelude::*;
@@ -221,7 +221,7 @@
     for count in [500, 2_000, 8_000] {
         let compared = Cell::new(0);
         let keys = (0..count).map(|i| Counted(i, &compared));
-        assert!(are_first(keys).into_iter().all(|is_first| is_first));
+        assert!(first_occurrences(keys).into_iter().all(|is_first| is_first));
         // Of different keys hardly any falls on the place of another.
         let most = u64::from(count);
         assert!(compared.get() < most, "{} for {count}", compared.get());
