--- a/components/daemon/src/callers.rs
+++ b/components/daemon/src/callers.rs
@@ -9,6 +9,6 @@
 mod returned;
 mod serve;
 
-pub use admission::run_loans;
+pub use admission::run_lease_renewals;
 pub use connection::run;
 pub use returned::Try;
--- a/components/daemon/src/callers/admission.rs
+++ b/components/daemon/src/callers/admission.rs
@@ -113,7 +113,7 @@
 }
 
 /// Lends this node's share of every limit again and again, where any account is limited.
-pub async fn run_loans(node: Rc<Node>) {
+pub async fn run_lease_renewals(node: Rc<Node>) {
     let peers = links::Peers(node.clone());
     loop {
         let in_force = node.in_force();
--- a/components/daemon/src/callers/returned.rs
+++ b/components/daemon/src/callers/returned.rs
@@ -17,9 +17,9 @@
 pub struct Try {
     request: Fingerprint,
     /// When the caller first tried.
-    pub first: Moment,
+    pub first_at: Moment,
     /// Whether this is a later try.
-    pub is_return: bool,
+    pub is_retry: bool,
     /// When the caller gives up.
     deadline: Moment,
 }
@@ -42,8 +42,8 @@
     }
     Some(Try {
         request,
-        first: first.unwrap_or(call.received),
-        is_return: first.is_some(),
+        first_at: first.unwrap_or(call.received),
+        is_retry: first.is_some(),
         deadline,
     })
 }
@@ -55,7 +55,7 @@
     };
     if matches!(outcome, RelayOutcome::NotRun(_)) {
         let mut returning = node.returning.borrow_mut();
-        returning.record_refusal(node.now(), this.request, this.first, this.deadline);
+        returning.record_refusal(node.now(), this.request, this.first_at, this.deadline);
     }
 }
 
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -6,7 +6,7 @@
 use super::returned::{self, Try};
 use crate::candidates::{self, Connections, Drawn};
 use crate::containment;
-use crate::entry_driver::{run_call, Plan};
+use crate::entry_driver::{run_call, CallPlan};
 use crate::links;
 use crate::node::Node;
 use crate::registration;
@@ -90,9 +90,9 @@
     call.deadline_ms = call.deadline_ms.map(|ms| ms.saturating_sub(waited_ms));
     let fixed = in_force.declarations.find_route(&call.host, &call.path);
     if let Some(route) = fixed.cloned() {
-        let tried = returned::recognise(node, &call);
-        let outcome = by_route(node, &in_force, &route, call, tried, hung_up).await;
-        returned::note(node, tried, &outcome);
+        let caller_try = returned::recognise(node, &call);
+        let outcome = by_route(node, &in_force, &route, call, caller_try, hung_up).await;
+        returned::note(node, caller_try, &outcome);
         return outcome;
     }
     let Some(service) = in_force.declarations.find_service(&call.host, &call.path) else {
@@ -120,7 +120,7 @@
     };
     let key = call.key.clone().filter(|_| !ruled.repeatable);
     let req = Arc::new(request(node, &service.name, call));
-    let order = match order_of(node, &req) {
+    let suspect_order = match order_of(node, &req) {
         Ok(order) => order,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
@@ -129,9 +129,9 @@
         settle(node, admitted, &outcome);
         return outcome;
     }
-    let plan = Plan {
-        tried: None,
-        order,
+    let plan = CallPlan {
+        caller_try: None,
+        suspect_order,
         candidates: node.candidates(&in_force, service),
         reserve: Vec::new(),
         price: Price::of(ruled.priority, 0, true),
@@ -177,7 +177,7 @@
     in_force: &InForce,
     route: &Route,
     mut call: CallerRequest,
-    tried: Option<Try>,
+    caller_try: Option<Try>,
     hung_up: impl Future<Output = ()>,
 ) -> RelayOutcome {
     let ruled = &route.treatment;
@@ -211,18 +211,20 @@
         caller: caller_named(node).as_ref(),
         caller_told: caller_told.as_deref(),
         deadline_ms,
-        since_first_try_ms: tried.map_or(0, |tried| node.now().since(tried.first) / MILLISECOND),
+        since_first_try_ms: caller_try.map_or(0, |caller_try| {
+            node.now().since(caller_try.first_at) / MILLISECOND
+        }),
         open: node.open_calls.get(),
     });
-    let order = match order_of(node, &req) {
+    let suspect_order = match order_of(node, &req) {
         Ok(order) => order,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
     let crossing = if is_inner { priority } else { ruled.priority };
     let drawn = registered_soon(node, &service, deadline).await;
-    let plan = Plan {
-        tried,
-        order,
+    let plan = CallPlan {
+        caller_try,
+        suspect_order,
         candidates: drawn.candidates,
         reserve: drawn.reserve,
         treatment,
@@ -475,7 +477,11 @@
     relay::run(node, in_force, relay, deadline).await
 }
 
-async fn direct(node: &Rc<Node>, plan: Plan, hung_up: impl Future<Output = ()>) -> RelayOutcome {
+async fn direct(
+    node: &Rc<Node>,
+    plan: CallPlan,
+    hung_up: impl Future<Output = ()>,
+) -> RelayOutcome {
     let began = node.now();
     let service = plan.req.service.clone();
     let outcome = match run_call(node, plan, hung_up).await.outcome {
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -333,7 +333,7 @@
 fn apply(node: &Rc<Node>, fingerprint: Fingerprint, standing: Verdict) {
     let mut copies = Vec::new();
     for (id, job) in node.jobs.borrow_mut().iter_mut() {
-        if job.ended.is_none() && job.req.fingerprint() == fingerprint {
+        if job.termination.is_none() && job.req.fingerprint() == fingerprint {
             job.suspect = true;
             copies.push(*id);
         }
--- a/components/daemon/src/containment/ends.rs
+++ b/components/daemon/src/containment/ends.rs
@@ -76,14 +76,14 @@
     let given_up = given_up(node, at);
     let is_young = at.since(node.started) < YOUNG_US && may_succeed_another(node);
     let mut jobs = node.jobs.borrow_mut();
-    let was_at_work = |job: &&mut Job| job.started.is_some_and(|started| started <= at);
+    let was_at_work = |job: &&mut Job| job.started_at.is_some_and(|started| started <= at);
     let mut at_work: Vec<&mut Job> = jobs.values_mut().filter(was_at_work).collect();
     let count = at_work.len();
     let under_suspicion = at_work.iter().filter(|job| job.suspect).count();
     let known = node.containment.known.borrow();
     let mut found = Vec::new();
     for job in &mut at_work {
-        if job.ended.is_some() {
+        if job.termination.is_some() {
             continue;
         }
         let fingerprint = job.req.fingerprint();
@@ -96,7 +96,7 @@
                 && !may_be_others
                 && !known.completed_recently(at, fingerprint),
         };
-        job.ended = Some(suspect);
+        job.termination = Some(suspect);
         found.push((job.req.id.clone(), suspect));
     }
     if found.is_empty() {
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -2,7 +2,7 @@
 //! another node may have acted for it.
 
 use crate::boot_record;
-use crate::entry_driver::{run_call, Finished, Plan};
+use crate::entry_driver::{run_call, CallPlan, CallResult};
 use crate::links::{self, Reply};
 use crate::local;
 use crate::node::{Node, Whole};
@@ -222,9 +222,9 @@
             max_arrivals: MOST_ARRIVALS,
             origin: Origin::Client,
         };
-        let plan = Plan {
-            tried: None,
-            order: None,
+        let plan = CallPlan {
+            caller_try: None,
+            suspect_order: None,
             candidates: self.candidates(),
             reserve: Vec::new(),
             treatment,
@@ -299,10 +299,12 @@
 }
 
 /// "Not run" holds for a key only if a node that remembers the key's runs has said so.
-fn outcome(finished: Finished) -> RelayOutcome {
+fn outcome(finished: CallResult) -> RelayOutcome {
     match finished.outcome {
         Some(Outcome::Answered(answer)) => RelayOutcome::Answered(answer),
-        Some(Outcome::NotRun(refusal)) if finished.contacted => RelayOutcome::NotRun(refusal),
+        Some(Outcome::NotRun(refusal)) if finished.has_certain_refusal => {
+            RelayOutcome::NotRun(refusal)
+        }
         Some(Outcome::NotRun(refusal)) => RelayOutcome::Unknown(refusal.reason),
         Some(Outcome::Unknown(reason)) => RelayOutcome::Unknown(reason),
         None => RelayOutcome::Unknown(Reason::Lost),
--- a/components/daemon/src/counted.rs
+++ b/components/daemon/src/counted.rs
@@ -3,17 +3,17 @@
 use std::cell::Cell;
 
 /// One piece of work that is counted.
-pub struct Counted<'a>(&'a Cell<u32>);
+pub struct CountGuard<'a>(&'a Cell<u32>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     /// Counts one more.
-    pub fn begin(count: &'a Cell<u32>) -> Counted<'a> {
+    pub fn new(count: &'a Cell<u32>) -> CountGuard<'a> {
         count.set(count.get() + 1);
-        Counted(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -32,7 +32,7 @@
     /// Since when its objective runs.
     began: Moment,
     /// Whether its caller was refused before.
-    is_return: bool,
+    is_retry: bool,
     price: Price,
     call: Call<Whole>,
     tx: Sender<Event<Whole>>,
@@ -40,15 +40,15 @@
 }
 
 /// How a call ended.
-pub struct Finished {
+pub struct CallResult {
     /// The outcome; none when the caller hung up.
     pub outcome: Option<Outcome<Whole>>,
     /// Whether a home duty that knows the call's idempotency key refused an offer.
-    pub contacted: bool,
+    pub has_certain_refusal: bool,
 }
 
 /// What a call needs to know.
-pub struct Plan {
+pub struct CallPlan {
     /// Upstreams that may serve it.
     pub candidates: Vec<Candidate>,
     /// Upstreams to which no connection is open, for when none of those takes work any more.
@@ -62,15 +62,19 @@
     /// The caller's deadline.
     pub deadline: Moment,
     /// The caller's try, where its objective runs from its first one.
-    pub tried: Option<Try>,
+    pub caller_try: Option<Try>,
     /// What an offer may cost.
     pub price: Price,
     /// The VMs at which it may run, the best first, if an upstream ended while it ran a copy.
-    pub order: Option<Vec<Name>>,
+    pub suspect_order: Option<Vec<Name>>,
 }
 
 /// Takes a request to its outcome.
-pub async fn run_call(node: &Rc<Node>, plan: Plan, hung_up: impl Future<Output = ()>) -> Finished {
+pub async fn run_call(
+    node: &Rc<Node>,
+    plan: CallPlan,
+    hung_up: impl Future<Output = ()>,
+) -> CallResult {
     let (tx, rx) = async_channel::bounded(EVENTS);
     let price = plan.price;
     let call = Call::new(
@@ -81,7 +85,7 @@
     )
     .with_price(price)
     .with_reserve(plan.reserve);
-    let call = match plan.order {
+    let call = match plan.suspect_order {
         Some(order) => call.with_suspect_order(order),
         None => call,
     };
@@ -90,8 +94,12 @@
         req: plan.req,
         treatment: plan.treatment,
         key: plan.key,
-        began: plan.tried.map_or(node.now(), |tried| tried.first),
-        is_return: plan.tried.is_some_and(|tried| tried.is_return),
+        began: plan
+            .caller_try
+            .map_or(node.now(), |caller_try| caller_try.first_at),
+        is_retry: plan
+            .caller_try
+            .is_some_and(|caller_try| caller_try.is_retry),
         price,
         call,
         tx,
@@ -105,9 +113,9 @@
     if matches!(&outcome, Some(Outcome::Answered(answer)) if !answer.is_error()) {
         containment::answered(node, &running.req);
     }
-    Finished {
+    CallResult {
         outcome,
-        contacted: running.call.has_certain_refusal(),
+        has_certain_refusal: running.call.has_certain_refusal(),
     }
 }
 
@@ -145,7 +153,7 @@
             .waiters
             .borrow()
             .get(&id)
-            .is_some_and(|waiter| waiter.sent_to.is_none());
+            .is_some_and(|waiter| waiter.sent_to_boot.is_none());
         if unsent && links::withdraw(self.node, id) {
             return Event::NotSent(id);
         }
@@ -207,7 +215,7 @@
             may_queue,
             repeat,
             suspicion,
-            returned: self.is_return,
+            returned: self.is_retry,
             report_straggler: self.reports_straggler(),
             known_limit: view.known_limit,
             account: None,
@@ -223,9 +231,9 @@
         let waiter = Waiter {
             tx: self.tx.clone(),
             vm: to.clone(),
-            offered: node.now(),
+            offered_at: node.now(),
             service: self.req.service.clone(),
-            sent_to: local.then_some(node.boot),
+            sent_to_boot: local.then_some(node.boot),
         };
         node.waiters.borrow_mut().insert(id, waiter);
         if local {
@@ -270,7 +278,7 @@
 }
 
 /// Takes in the state of an upstream that came with an answer or a refusal.
-pub fn reported(node: &Rc<Node>, vm: &Name, load: Load) {
+pub fn on_load_report(node: &Rc<Node>, vm: &Name, load: Load) {
     let now = node.now();
     node.entry.borrow_mut().on_report(now, vm, load);
 }
@@ -283,7 +291,7 @@
     };
     let waiters = node.waiters.borrow();
     if let Some(waiter) = waiters.get(&id).filter(|_| !event.is_report()) {
-        let took_us = node.now().since(waiter.offered);
+        let took_us = node.now().since(waiter.offered_at);
         stats::took(Stage::Offer, &waiter.service, event.as_str(), took_us);
     }
     let delivered = waiters
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -1,7 +1,7 @@
 //! One request at the upstream beside this node: what the upstream is told, and what its answer means.
 
 use crate::containment;
-use crate::entry_driver::reported;
+use crate::entry_driver::on_load_report;
 use crate::home_driver::leaving_changed;
 use crate::node::{Job, Node, Whole};
 use crate::registration::{self, Registration};
@@ -189,7 +189,7 @@
 
 /// Takes in for this node's own choices that the pace of the upstream beside it has changed.
 pub fn pace_changed(node: &Rc<Node>) {
-    reported(node, &node.cfg.vm, node.load());
+    on_load_report(node, &node.cfg.vm, node.load());
 }
 
 /// Reads the headers by which an upstream says that it leaves or did not start the request.
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -3,7 +3,7 @@
 use crate::boot_record;
 use crate::containment;
 use crate::exchange;
-use crate::jobs::account_of;
+use crate::jobs::fair_share_account;
 use crate::links::Reply;
 use crate::local;
 use crate::look;
@@ -49,7 +49,7 @@
 ) {
     let now = node.now();
     let offer = Offer {
-        account: account_of(node, &req),
+        account: fair_share_account(node, &req),
         ..offer
     };
     if let Some(refusal) = containment::barred(node, &offer, &req) {
@@ -66,15 +66,15 @@
     }
     let job = Job {
         suspect: containment::is_suspect(node, &offer, &req),
-        ended: None,
+        termination: None,
         leaving: None,
         req,
         reply: reply.clone(),
         deadline: now + offer.remaining_us,
         key,
         priority: offer.priority,
-        taken_in: now,
-        started: None,
+        arrived_at: now,
+        started_at: None,
         repeatable: offer.repeatable,
         repeat: offer.repeat,
         cancel: None,
@@ -405,14 +405,14 @@
     };
     let service = &job.req.service;
     let now = node.now();
-    let waited_until = job.started.unwrap_or(now);
+    let waited_until = job.started_at.unwrap_or(now);
     stats::took(
         Stage::Queue,
         service,
         outcome,
-        waited_until.since(job.taken_in),
+        waited_until.since(job.arrived_at),
     );
-    if let Some(started) = job.started {
+    if let Some(started) = job.started_at {
         stats::took(Stage::Upstream, service, outcome, now.since(started));
     }
 }
@@ -426,7 +426,9 @@
     let load = home
         .as_ref()
         .map_or_else(Load::default, |home| home.load(now));
-    let account = jobs.get(&id).and_then(|job| account_of(node, &job.req));
+    let account = jobs
+        .get(&id)
+        .and_then(|job| fair_share_account(node, &job.req));
     let account_load = home.as_ref().map(|home| home.account_load(&account));
     let account = account.as_ref().zip(account_load);
     audit::home(caller_id, id, decision, reason, load, pace_age_us, account);
@@ -447,7 +449,7 @@
         let mut jobs = node.jobs.borrow_mut();
         let job = jobs.get_mut(&id).expect("a started attempt has a job");
         job.cancel = Some(tx);
-        job.started = Some(now);
+        job.started_at = Some(now);
         job.clone()
     };
     if let Some(key) = job.key {
@@ -503,7 +505,7 @@
             end_job(node, id, frame);
         }
         None => {
-            let ended = node.jobs.borrow().get(&id).and_then(|job| job.ended);
+            let ended = node.jobs.borrow().get(&id).and_then(|job| job.termination);
             end_job(node, id, Frame::Broken { id, load, ended });
         }
     }
--- a/components/daemon/src/jobs.rs
+++ b/components/daemon/src/jobs.rs
@@ -25,9 +25,9 @@
     /// Priority at the home duty.
     pub priority: u8,
     /// When it was taken in.
-    pub taken_in: Moment,
+    pub arrived_at: Moment,
     /// When it got a slot.
-    pub started: Option<Moment>,
+    pub started_at: Option<Moment>,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Whether another upstream has seen it before.
@@ -35,7 +35,7 @@
     /// Whether an upstream has ended while it ran a copy.
     pub suspect: bool,
     /// What follows from the upstream's end, once it has ended while it ran this.
-    pub ended: Option<Suspect>,
+    pub termination: Option<Suspect>,
     /// The start of the upstream that ran it, if its answer says that it leaves.
     pub leaving: Option<Incarnation>,
     /// Tells the running exchange that nobody waits for it.
@@ -43,7 +43,7 @@
 }
 
 /// In whose share the request runs; none where slots are not shared among accounts.
-pub fn account_of(node: &Node, req: &Request) -> Option<Name> {
+pub fn fair_share_account(node: &Node, req: &Request) -> Option<Name> {
     let is_fair = node.cfg.admission.fair_accounts;
     req.account.clone().filter(|_| is_fair)
 }
@@ -69,9 +69,9 @@
     /// The VM it was offered to.
     pub vm: Name,
     /// When it was offered.
-    pub offered: Moment,
+    pub offered_at: Moment,
     /// Service that it is for.
     pub service: Name,
     /// Boot of the home node once any byte of the offer may have left this node.
-    pub sent_to: Option<BootId>,
+    pub sent_to_boot: Option<BootId>,
 }
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -92,7 +92,7 @@
     local::spawn(watching::run(node.clone()));
     local::spawn(home_driver::run_ticks(node.clone()));
     local::spawn(containment::run(node.clone()));
-    local::spawn(callers::run_loans(node.clone()));
+    local::spawn(callers::run_lease_renewals(node.clone()));
     local::spawn(operators::run_commands(node.clone(), rx));
     if let Some(pool) = node.pool.clone().filter(|_| node.registration.is_none()) {
         local::spawn(async move { pool.warm_up().await });
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -1,7 +1,7 @@
 //! What a node does with each frame.
 
 use super::Reply;
-use crate::entry_driver::{deliver, reported};
+use crate::entry_driver::{deliver, on_load_report};
 use crate::node::Node;
 use crate::{
     configuration, containment, coordinator, home_driver, recovery, registration, relay,
@@ -34,11 +34,11 @@
         Frame::Cancel { id } => home_driver::cancel(node, id),
         Frame::Heartbeat => reply.send(node, Frame::Alive { load: node.load() }),
         Frame::Refused { id, refusal, load } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             deliver(node, id, Event::Refused(id, refusal));
         }
         Frame::Revoked { id, load } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             deliver(node, id, Event::Revoked(id));
         }
         Frame::Answered {
@@ -47,7 +47,7 @@
             load,
             leaving,
         } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             if let Some(incarnation) = leaving {
                 upstream_notices::leaving_told(node, from, &incarnation);
             }
@@ -55,7 +55,7 @@
             deliver(node, id, Event::Answered { id, answer, error });
         }
         Frame::Broken { id, load, ended } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             let event = match ended {
                 Some(suspect) => containment::event(node, id, suspect),
                 None => Event::Broken(id),
@@ -69,7 +69,7 @@
         }
         Frame::Told { id, reply } => told(node, id, reply),
         Frame::Alive { load } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             node.entry.borrow_mut().mark_responsive(from);
         }
         Frame::Leaving { leaving } => {
--- a/components/daemon/src/links/heartbeat.rs
+++ b/components/daemon/src/links/heartbeat.rs
@@ -122,7 +122,7 @@
 fn waiting_by_vm(node: &Rc<Node>) -> HashMap<Name, Vec<AttemptId>> {
     let mut waiting: HashMap<Name, Vec<AttemptId>> = HashMap::new();
     for (id, waiter) in node.waiters.borrow().iter() {
-        if waiter.sent_to.is_some() {
+        if waiter.sent_to_boot.is_some() {
             waiting.entry(waiter.vm.clone()).or_default().push(*id);
         }
     }
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -143,7 +143,7 @@
         .waiters
         .borrow()
         .get(&id)
-        .and_then(|waiter| waiter.sent_to);
+        .and_then(|waiter| waiter.sent_to_boot);
     match boot {
         Some(boot) => transmit(node, to, Frame::Ask { id, boot }),
         None => entry_driver::deliver(node, id, Event::NotSent(id)),
@@ -356,7 +356,7 @@
     up.used.set(node.now());
     if let Frame::Offer { offer, .. } = &frame {
         if let Some(waiter) = node.waiters.borrow_mut().get_mut(&offer.id) {
-            waiter.sent_to = Some(up.boot);
+            waiter.sent_to_boot = Some(up.boot);
         }
     }
 }
@@ -386,7 +386,7 @@
         .waiters
         .borrow()
         .iter()
-        .filter(|(_, waiter)| waiter.vm == *vm && waiter.sent_to.is_some())
+        .filter(|(_, waiter)| waiter.vm == *vm && waiter.sent_to_boot.is_some())
         .map(|(id, _)| *id)
         .collect();
     for id in lost {
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -2,7 +2,7 @@
 
 use super::{Manner, WATCH};
 use crate::configuration::{self, BREATH};
-use crate::counted::Counted;
+use crate::counted::CountGuard;
 use crate::node::Node;
 use crate::registration::Registration;
 use crate::store::called;
@@ -101,7 +101,7 @@
     objects: &[Stored],
     era: Option<Era>,
 ) {
-    let _taking_in = Counted::begin(&registration.taking_in);
+    let _taking_in = CountGuard::new(&registration.taking_in);
     let (_, name) = registration.adapter.declarations();
     for object in objects.iter().filter(|object| object.name.as_str() == name) {
         let began = node.now();
