--- a/components/audit/src/requests.rs
+++ b/components/audit/src/requests.rs
@@ -2,11 +2,11 @@
 
 use crate::limit::{allowed, Kind};
 use declarations::Route;
-use entry::{Hedge, View};
+use entry::{Hedge, UpstreamView};
 use home::{AccountLoad, Load, Offer, Reason, Refusal};
 use names::{AttemptId, Name};
 use notices::RequestRate;
-use registry::Named;
+use registry::LocalService;
 use wire::{RelayOutcome, Request};
 
 /// A request for which a route and a service were found.
@@ -19,7 +19,7 @@
     /// Revision by which it is served.
     pub revision: u64,
     /// The service in whose name it runs, and what says so.
-    pub caller: Option<&'a Named>,
+    pub caller: Option<&'a LocalService>,
     /// The service in whose name its caller says that it calls; never believed.
     pub caller_told: Option<&'a str>,
     /// How long its caller waits, in milliseconds.
@@ -58,12 +58,12 @@
 
 /// Calls from this VM are made in another name than before.
 pub fn caller_changed(
-    before: Option<&Named>,
-    next: Option<&Named>,
+    before: Option<&LocalService>,
+    next: Option<&LocalService>,
     settings: Option<&Name>,
     registered: Option<&Name>,
 ) {
-    let service = |named: Option<&Named>| {
+    let service = |named: Option<&LocalService>| {
         named
             .map_or("-", |named| named.service.as_str())
             .to_string()
@@ -120,7 +120,7 @@
 
 /// A request was offered to the node beside an upstream. `view` is what was known of it then, and
 /// `age_us` how old that was.
-pub fn offered(id: &str, offer: &Offer, to: &Name, view: &View, age_us: u64) {
+pub fn offered(id: &str, offer: &Offer, to: &Name, view: &UpstreamView, age_us: u64) {
     if allowed(Kind::Offered) {
         let load = view.load.unwrap_or_default();
         tracing::info!(
@@ -138,7 +138,7 @@
             limit = load.limit,
             service_ms = load.service_us / 1_000,
             slow_percent = load.slow_percent,
-            held_ms = load.held_us / 1_000,
+            held_ms = load.deferred_us / 1_000,
             cold_wait_ms = load.cold_wait_us / 1_000,
             request_limit = view.known_limit.map(RequestRate::per_s),
             limit_wait_ms = load.request_limit.map(|_| load.limit_wait_us / 1_000),
@@ -167,7 +167,7 @@
 /// went, or would have gone.
 pub fn hedged(id: &str, hedge: &Hedge) {
     if allowed(Kind::Hedged) {
-        let second = hedge.second.map(|second| second.to_string());
+        let second = hedge.hedged.map(|hedged| hedged.to_string());
         let ms = |us: Option<u64>| us.map(|us| us / 1_000);
         tracing::info!(
             id,
@@ -177,7 +177,7 @@
             second = second.as_deref().unwrap_or("-"),
             to = hedge.to.as_ref().map_or("-", Name::as_str),
             since_offer_ms = hedge.since_offer_us / 1_000,
-            left_ms = hedge.left_us / 1_000,
+            left_ms = hedge.remaining_us / 1_000,
             expected_ms = ms(hedge.expected_us),
             load_age_ms = ms(hedge.load_age_us),
             since_busy_ms = ms(hedge.since_busy_us),
@@ -211,7 +211,7 @@
             service_ms = load.service_us / 1_000,
             slow_percent = load.slow_percent,
             pace_age_ms = pace_age_us.map(|age_us| age_us / 1_000),
-            held_ms = load.held_us / 1_000,
+            held_ms = load.deferred_us / 1_000,
             cold_wait_ms = load.cold_wait_us / 1_000,
             request_limit = load.request_limit.map(RequestRate::per_s),
             limit_wait_ms = load.request_limit.map(|_| load.limit_wait_us / 1_000),
--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -3,9 +3,9 @@
 use budget::{Act, Gate, HallBudget};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use declarations::Bundle;
-use entry::{Call, Candidate, Entry, Event, Origin, Rule, Treatment};
+use entry::{Call, Candidate, Entry, Event, Origin, SelectionRule, Treatment};
 use home::{Config, Home, Offer, Verdict};
-use keys::{Begin, Claims, End, KeyHash, Table};
+use keys::{Claims, KeyAction, KeyHash, KeyOutcome, KeyTable};
 use names::{AttemptId, BootId, Moment, Name};
 use policy::{Input, Policy};
 use std::hint::black_box;
@@ -47,23 +47,23 @@
             .map(|n| Candidate {
                 vm: Name::from(format!("vm-{n}")),
                 same_hall: n % 3 == 0,
-                own: false,
+                local: false,
             })
             .collect();
-        let mut entry = Entry::new(BootId(1), Rule::Expected, 1);
+        let mut entry = Entry::new(BootId(1), SelectionRule::Expected, 1);
         group.bench_function(BenchmarkId::from_parameter(UPSTREAMS * scale), |b| {
             b.iter(|| {
                 let treatment = Treatment {
                     repeatable: true,
                     priority: 1,
-                    attempts: 2,
-                    arrivals: 2,
+                    max_runs: 2,
+                    max_arrivals: 2,
                     origin: Origin::Client,
                 };
                 let mut call: Call<u64> =
                     Call::new("s".into(), treatment, Moment(9_000_000), candidates.clone());
                 black_box(call.step(Moment(1), Event::Begin, &mut entry));
-                black_box(call.step(Moment(1), Event::HungUp, &mut entry));
+                black_box(call.step(Moment(1), Event::CallerDisconnected, &mut entry));
             });
         });
     }
@@ -97,19 +97,19 @@
 fn key(c: &mut Criterion) {
     let mut group = c.benchmark_group("begin and end a key, by keys kept");
     for scale in SCALES {
-        let mut table: Table<u64> = Table::new(1_000_000, 256);
+        let mut table: KeyTable<u64> = KeyTable::new(1_000_000, 256);
         let mut claims = Claims::new(1_000_000);
         let vm = Name::from("vm");
         let mut now = Moment(1);
         let mut number = 0_u64;
         let mut step = move || {
             let key = KeyHash::new(&vm, &number.to_string());
-            if table.begin(now, key, now, false) == Begin::Run {
-                table.end(now, key, End::Answered(number));
+            if table.begin(now, key, now, false) == KeyAction::Run {
+                table.end(now, key, KeyOutcome::Answered(number));
             }
             black_box(claims.claim(now, key, &vm, BootId(1)));
             number += 1;
-            now = now + keys::KEY_KEPT_US / (KEYS * scale);
+            now = now + keys::KEY_RETENTION_US / (KEYS * scale);
         };
         for _ in 0..KEYS * scale {
             step();
@@ -140,7 +140,7 @@
         messages_per_s: 60.0,
         slot_us_per_s: 0.0,
     };
-    gate.set(Moment(1), hall, 95);
+    gate.set_hall_budget(Moment(1), hall, 95);
     let mut now = Moment(1);
     c.bench_function("ask the measuring budget", |b| {
         b.iter(|| {
@@ -171,7 +171,7 @@
             b.iter(|| black_box(declarations::check(&after)));
         });
         group.bench_function(BenchmarkId::new("one route changed", count), |b| {
-            b.iter(|| black_box(declarations::check_after(after.clone(), &before)));
+            b.iter(|| black_box(declarations::check_incremental(after.clone(), &before)));
         });
     }
     group.finish();
--- a/components/daemon/src/callers/admission.rs
+++ b/components/daemon/src/callers/admission.rs
@@ -3,7 +3,7 @@
 use super::request::CallerRequest;
 use crate::links;
 use crate::node::Node;
-use accounts::{Account, Barred, Presented, Proof};
+use accounts::{Account, Credential, DenyReason, Freshness};
 use async_std::task;
 use audit::stats;
 use home::{Reason, Refusal};
@@ -28,7 +28,7 @@
     in_force: &InForce,
     call: &CallerRequest,
     is_open: bool,
-    proof: Proof,
+    proof: Freshness,
 ) -> Result<Option<Arc<Account>>, Refusal> {
     let accounts = &in_force.declarations.accounts;
     let found = accounts::identify(accounts, presented(in_force, call), is_open, proof);
@@ -41,12 +41,12 @@
 }
 
 /// A key goes before what the identity of the request says.
-fn presented(in_force: &InForce, call: &CallerRequest) -> Presented {
+fn presented(in_force: &InForce, call: &CallerRequest) -> Credential {
     if let Some(digest) = call.account_key {
-        return Presented::Key(digest);
+        return Credential::Key(digest);
     }
     let Some(parent) = &call.parent else {
-        return Presented::Nothing;
+        return Credential::Missing;
     };
     let accounts = &in_force.declarations.accounts;
     let account = parent.account.as_ref().map(|name| {
@@ -60,16 +60,16 @@
             })
         })
     });
-    Presented::Call(account)
+    Credential::Inherited(account)
 }
 
-fn refusal(barred: Barred) -> Refusal {
+fn refusal(barred: DenyReason) -> Refusal {
     match barred {
-        Barred::NoKey | Barred::UnknownKey => Refusal {
+        DenyReason::NoKey | DenyReason::UnknownKey => Refusal {
             reason: Reason::Key,
             retry_after_ms: 0,
         },
-        Barred::Unproved => Refusal {
+        DenyReason::StaleKeys => Refusal {
             reason: Reason::StaleKeys,
             retry_after_ms: UNPROVED_RETRY_MS,
         },
@@ -91,7 +91,7 @@
     };
     let refusal = match quotas.take(peers, account, deadline).await {
         Admission::Granted(token) => return Ok(Some(token)),
-        Admission::Over { wait_us } => Refusal {
+        Admission::OverLimit { wait_us } => Refusal {
             reason: Reason::OverLimit,
             retry_after_ms: wait_us.div_ceil(MILLISECOND),
         },
@@ -100,7 +100,7 @@
             retry_after_ms: UNPROVED_RETRY_MS,
         },
     };
-    let part = quotas.part(peers.now());
+    let part = quotas.share(peers.now());
     audit::over_limit(&call.id, &account.name, &refusal, part);
     Err(refusal)
 }
@@ -113,15 +113,15 @@
 }
 
 /// Lends this node's share of every limit again and again, where any account is limited.
-pub async fn run_loans(node: Rc<Node>) {
+pub async fn run_lease_renewals(node: Rc<Node>) {
     let peers = links::Peers(node.clone());
     loop {
         let in_force = node.in_force();
         let has_limits =
             in_force.is_some_and(|in_force| in_force.declarations.accounts.has_limits());
-        let has_lent = has_limits && node.quotas.lend(&peers);
+        let has_lent = has_limits && node.quotas.renew_leases(&peers);
         if has_limits {
-            stats::set("drumwheel_quota_part", node.quotas.part(node.now()));
+            stats::set("drumwheel_quota_part", node.quotas.share(node.now()));
         }
         task::sleep(if has_lent { LEND_EVERY } else { LEND_FIRST }).await;
     }
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -6,25 +6,25 @@
 use super::returned::{self, Try};
 use crate::candidates::{self, Connections, Drawn};
 use crate::containment;
-use crate::entry_driver::{run_call, Plan};
+use crate::entry_driver::{run_call, CallPlan};
 use crate::links;
 use crate::node::Node;
 use crate::registration;
 use crate::relay::{self, Relay};
 use crate::watching;
-use accounts::{Account, Proof, MOST_PRIORITY};
+use accounts::{Account, Freshness, MAX_PRIORITY};
 use audit::stats::{self, Stage};
 use audit::Routed;
 use declarations::{Route, Service};
 use entry::{Origin, Outcome, Price, Treatment};
 use futures_util::FutureExt;
 use home::{Reason, Refusal};
-use keys::KEY_DEADLINE_US;
+use keys::MAX_KEY_DEADLINE_US;
 use names::{Moment, Name, MILLISECOND};
 use policy::Input;
-use quarantine::Standing;
+use quarantine::Verdict;
 use quota::Token;
-use registry::Named;
+use registry::LocalService;
 use rollout::InForce;
 use std::future::Future;
 use std::pin::pin;
@@ -41,7 +41,7 @@
 /// Steps between the priorities of two accounts: all those of routes lie between them.
 const ACCOUNT_STEP: u8 = 10;
 /// What is added for calls where requests have accounts.
-const INNER_PRIORITY_OF_ACCOUNTS: u8 = ACCOUNT_STEP * (MOST_PRIORITY + 1);
+const INNER_PRIORITY_OF_ACCOUNTS: u8 = ACCOUNT_STEP * (MAX_PRIORITY + 1);
 /// Headers that begin so are this program's own and are not passed on.
 const PREFIX: &str = "drumwheel-";
 /// Upstreams that may see a request of a policy that lets it run once: one that turns it away unrun may
@@ -88,14 +88,14 @@
     };
     let waited_ms = node.now().since(call.received) / MILLISECOND;
     call.deadline_ms = call.deadline_ms.map(|ms| ms.saturating_sub(waited_ms));
-    let fixed = in_force.declarations.fixed_route(&call.host, &call.path);
+    let fixed = in_force.declarations.find_route(&call.host, &call.path);
     if let Some(route) = fixed.cloned() {
-        let tried = returned::recognise(node, &call);
-        let outcome = by_route(node, &in_force, &route, call, tried, hung_up).await;
-        returned::note(node, tried, &outcome);
+        let caller_try = returned::recognise(node, &call);
+        let outcome = by_route(node, &in_force, &route, call, caller_try, hung_up).await;
+        returned::note(node, caller_try, &outcome);
         return outcome;
     }
-    let Some(service) = in_force.declarations.route(&call.host, &call.path) else {
+    let Some(service) = in_force.declarations.find_service(&call.host, &call.path) else {
         let revision = in_force.configuration.head.revision;
         audit::no_route(&call.id, &call.host, &call.path, revision);
         return refused(Reason::NoService, 0);
@@ -114,13 +114,13 @@
     let treatment = Treatment {
         repeatable: ruled.repeatable,
         priority: priority(&ruled, &call, admitted.account.as_deref()),
-        attempts: attempts(&ruled, call.level),
-        arrivals: ruled.attempts.max(LEAST_ARRIVALS),
+        max_runs: attempts(&ruled, call.level),
+        max_arrivals: ruled.attempts.max(LEAST_ARRIVALS),
         origin: origin(&call),
     };
     let key = call.key.clone().filter(|_| !ruled.repeatable);
     let req = Arc::new(request(node, &service.name, call));
-    let order = match order_of(node, &req) {
+    let suspect_order = match order_of(node, &req) {
         Ok(order) => order,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
@@ -129,9 +129,9 @@
         settle(node, admitted, &outcome);
         return outcome;
     }
-    let plan = Plan {
-        tried: None,
-        order,
+    let plan = CallPlan {
+        caller_try: None,
+        suspect_order,
         candidates: node.candidates(&in_force, service),
         reserve: Vec::new(),
         price: Price::of(ruled.priority, 0, true),
@@ -158,14 +158,14 @@
         }
         let now = node.now();
         let first_read = *node.first_read.borrow();
-        let until = first_read.caller_waits_until(arrived, time_us, watching::is_read(node));
+        let until = first_read.caller_wait_deadline(arrived, time_us, watching::is_read(node));
         if now >= until {
             return None;
         }
-        if first_read.needs_place(now) && place.is_none() {
-            place = Some(node.blank_waiters.enter(call.bytes())?);
+        if first_read.needs_reservation(now) && place.is_none() {
+            place = Some(node.blank_waiters.reserve(call.bytes())?);
         }
-        let limit_us = first_read.next_look(now, until).since(now);
+        let limit_us = first_read.next_check(now, until).since(now);
         let limit = Duration::from_micros(limit_us);
         node.first_declarations.wait(limit).await;
     }
@@ -177,7 +177,7 @@
     in_force: &InForce,
     route: &Route,
     mut call: CallerRequest,
-    tried: Option<Try>,
+    caller_try: Option<Try>,
     hung_up: impl Future<Output = ()>,
 ) -> RelayOutcome {
     let ruled = &route.treatment;
@@ -194,12 +194,12 @@
     let treatment = Treatment {
         repeatable: ruled.repeatable,
         priority,
-        attempts: attempts(ruled, call.level),
-        arrivals: ruled.attempts,
+        max_runs: attempts(ruled, call.level),
+        max_arrivals: ruled.attempts,
         origin: origin(&call),
     };
     if is_inner {
-        node.entry.borrow_mut().called_below(&service);
+        node.entry.borrow_mut().add_dependency(&service);
     }
     let deadline_ms = call.deadline_ms;
     let caller_told = told_caller(node, &call);
@@ -211,18 +211,20 @@
         caller: caller_named(node).as_ref(),
         caller_told: caller_told.as_deref(),
         deadline_ms,
-        since_first_try_ms: tried.map_or(0, |tried| node.now().since(tried.first) / MILLISECOND),
+        since_first_try_ms: caller_try.map_or(0, |caller_try| {
+            node.now().since(caller_try.first_at) / MILLISECOND
+        }),
         open: node.open_calls.get(),
     });
-    let order = match order_of(node, &req) {
+    let suspect_order = match order_of(node, &req) {
         Ok(order) => order,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
     let crossing = if is_inner { priority } else { ruled.priority };
     let drawn = registered_soon(node, &service, deadline).await;
-    let plan = Plan {
-        tried,
-        order,
+    let plan = CallPlan {
+        caller_try,
+        suspect_order,
         candidates: drawn.candidates,
         reserve: drawn.reserve,
         treatment,
@@ -266,11 +268,11 @@
 }
 
 /// How new what is known of accounts is, and must be.
-fn proof(node: &Node) -> Proof {
+fn proof(node: &Node) -> Freshness {
     let bound_ms = node.cfg.accounts.withdrawn_within_ms;
-    Proof {
+    Freshness {
         age_us: node.watch.borrow().age_us(node.now()),
-        withdrawn_within_us: bound_ms.map(|ms| ms * MILLISECOND),
+        max_age_us: bound_ms.map(|ms| ms * MILLISECOND),
     }
 }
 
@@ -291,7 +293,7 @@
 /// that wait for them.
 async fn registered_soon(node: &Rc<Node>, service: &Name, deadline: Moment) -> Drawn {
     let first_read = *node.first_read.borrow();
-    let until = first_read.caller_waits_for_upstream_until().min(deadline);
+    let until = first_read.upstream_wait_deadline().min(deadline);
     loop {
         let drawn = registered(node, service);
         let now = node.now();
@@ -328,7 +330,7 @@
 }
 
 /// The service in whose name calls from this VM are made, and what says so.
-fn caller_named(node: &Node) -> Option<Named> {
+fn caller_named(node: &Node) -> Option<LocalService> {
     let believed = node.registration.as_deref().and_then(registration::service);
     let beside = registration::beside(node);
     node.caller_name.choose(&beside, believed.as_ref())
@@ -345,12 +347,12 @@
 /// held is refused at once.
 fn order_of(node: &Node, req: &Request) -> Result<Option<Vec<Name>>, Refusal> {
     match containment::standing(node, req) {
-        Standing::Free => Ok(None),
-        Standing::Suspect => {
+        Verdict::Free => Ok(None),
+        Verdict::Suspect => {
             let order = containment::order(node, &req.service, req.fingerprint());
             Ok(Some(order))
         }
-        Standing::Held => Err(containment::held()),
+        Verdict::Held => Err(containment::held()),
     }
 }
 
@@ -390,9 +392,9 @@
 
 fn origin(call: &CallerRequest) -> Origin {
     match &call.parent {
-        Some(parent) if parent.repeat => Origin::Repeat,
-        Some(_) => Origin::Run,
-        None if call.level > 0 => Origin::Run,
+        Some(parent) if parent.repeat => Origin::UpstreamRepeat,
+        Some(_) => Origin::Upstream,
+        None if call.level > 0 => Origin::Upstream,
         None => Origin::Client,
     }
 }
@@ -463,7 +465,7 @@
     req: Arc<Request>,
     deadline: Moment,
 ) -> RelayOutcome {
-    let deadline = deadline.min(node.now() + KEY_DEADLINE_US);
+    let deadline = deadline.min(node.now() + MAX_KEY_DEADLINE_US);
     let relay = Relay {
         remaining_us: deadline.since(node.now()),
         waited_us: node.paused_for(),
@@ -475,7 +477,11 @@
     relay::run(node, in_force, relay, deadline).await
 }
 
-async fn direct(node: &Rc<Node>, plan: Plan, hung_up: impl Future<Output = ()>) -> RelayOutcome {
+async fn direct(
+    node: &Rc<Node>,
+    plan: CallPlan,
+    hung_up: impl Future<Output = ()>,
+) -> RelayOutcome {
     let began = node.now();
     let service = plan.req.service.clone();
     let outcome = match run_call(node, plan, hung_up).await.outcome {
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -13,11 +13,11 @@
 use names::Name;
 use rand::seq::IndexedRandom;
 use rand::Rng;
-use rollout::{Advice, Offered, Standing, Summary, Unchecked};
+use rollout::{Advice, LocalState, Offered, Summary, UncheckedRevision};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use watch::Allowed;
+use watch::AllowedWork;
 use wire::Frame;
 
 /// Mean time between two comparisons with a peer chosen at random.
@@ -36,7 +36,11 @@
 ///
 /// The check goes on when the caller is given up meanwhile: a revision whose check was dropped half-way would
 /// count as being checked for ever, and be taken from nobody.
-pub async fn take_in(node: &Rc<Node>, unchecked: impl Into<Unchecked>, origin: Origin) -> Offered {
+pub async fn take_in(
+    node: &Rc<Node>,
+    unchecked: impl Into<UncheckedRevision>,
+    origin: Origin,
+) -> Offered {
     let unchecked = unchecked.into();
     if node.in_force().is_none() {
         // Not queued behind the work of others, and carried through without a pause, so that it is never given up.
@@ -51,11 +55,11 @@
     rx.recv().await.unwrap_or(Offered::UnderWay)
 }
 
-async fn check_and_take(node: &Rc<Node>, unchecked: Unchecked, origin: Origin) -> Offered {
+async fn check_and_take(node: &Rc<Node>, unchecked: UncheckedRevision, origin: Origin) -> Offered {
     let revision = unchecked.configuration().head.revision;
     let bytes = unchecked.configuration().size();
     let began = node.now();
-    let begun = node.rollout.borrow_mut().begin(unchecked);
+    let begun = node.rollout.borrow_mut().begin_check(unchecked);
     let (before, offered) = match begun {
         Ok(mut checking) => {
             let checked = loop {
@@ -71,7 +75,7 @@
                 }
             };
             let before = node.in_force();
-            let offered = node.rollout.borrow_mut().end(checking, checked);
+            let offered = node.rollout.borrow_mut().end_check(checking, checked);
             (before, offered)
         }
         Err(offered) => (None, offered),
@@ -82,7 +86,7 @@
     match &offered {
         Offered::Taken => {
             if let Some(after) = node.in_force() {
-                node.fetch.borrow_mut().came();
+                node.fetch.borrow_mut().on_applied();
                 node.first_declarations.wake();
                 let age_us = node.watch.borrow().age_us(node.now());
                 audit::in_force(before.as_deref(), &after, age_us);
@@ -104,7 +108,7 @@
     if !node.view.borrow_mut().update(list) {
         return;
     }
-    node.fetch.borrow_mut().came();
+    node.fetch.borrow_mut().on_applied();
     tracing::info!(version, "a list of VMs was taken in");
     node.refresh_budget();
     home_driver::leaving_changed(node);
@@ -117,8 +121,8 @@
     store::heard(node, from, theirs);
     let has_newer_evacuations = watching::evacuations_heard(node, from, theirs.evacuated.as_ref());
     let mine = node.summary();
-    if theirs.is_level_with(&mine) {
-        node.rollout.borrow_mut().read_again(theirs.read);
+    if theirs.is_in_sync_with(&mine) {
+        node.rollout.borrow_mut().advance_read_at(theirs.read_at);
         watching::confirmed_by(node, from, theirs);
     }
     if theirs.is_newer_than(&mine) {
@@ -130,7 +134,7 @@
 
 /// Asks a peer for what is newer there, unless it is on its way or the store is about to give it.
 fn ask(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
-    if watching::allowed(node) == Allowed::Nothing {
+    if watching::allowed(node) == AllowedWork::Nothing {
         // Asked again, the store would send the same once more over the same link. The peer tells this only once, so
         // it is asked later.
         if let Some(registration) = &node.registration {
@@ -140,7 +144,7 @@
         return;
     }
     let mine = node.summary();
-    let newest = node.rollout.borrow().newest();
+    let newest = node.rollout.borrow().newest_revision();
     let known = Summary {
         revision: newest,
         ..mine.clone()
@@ -149,18 +153,18 @@
     if is_checked || !theirs.is_newer_than(&known) {
         return;
     }
-    let standing = Standing {
+    let standing = LocalState {
         revision: mine.revision,
-        store_asked: node.watch.borrow().is_watching(),
+        awaits_store: node.watch.borrow().is_watching(),
         // A store that has not answered the first read is not asked beside it.
-        can_read: node.registration.is_some() && !watching::is_first_read(node),
+        can_read_store: node.registration.is_some() && !watching::is_first_read(node),
     };
     let now = node.now();
     let told = node
         .fetch
         .borrow_mut()
-        .told(now, from, standing, theirs.bytes_for(&mine));
-    let missed = node.fetch.borrow().missed();
+        .on_newer(now, from, standing, theirs.bytes_for(&mine));
+    let missed = node.fetch.borrow().failures();
     audit::newer_there(from, &mine, theirs, told, missed);
     match told {
         Advice::Ask => reply.send(node, Frame::Want(known)),
@@ -184,7 +188,7 @@
 /// that is still newer.
 pub fn ask_postponed(node: &Rc<Node>, registration: &Registration) {
     let allowed = watching::allowed(node);
-    let due = registration.postponed.borrow_mut().due(allowed);
+    let due = registration.postponed.borrow_mut().take_due(allowed);
     for reply in due {
         reply.send(node, Frame::Summary(node.summary()));
     }
@@ -202,7 +206,7 @@
 pub fn wanted(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
     let mine = node.summary();
     if mine.has_newer_content_than(theirs) {
-        let lacking = node.rollout.borrow().lacking(theirs.content);
+        let lacking = node.rollout.borrow().delta_for(theirs.content_id);
         if let Some(configuration) = lacking.map(Arc::new) {
             audit::declarations_sent(from, theirs.revision, mine.revision, configuration.size());
             reply.send(node, Frame::Configuration(configuration));
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -8,12 +8,12 @@
 use crate::node::{Node, Waiter, Whole};
 use async_channel::{Receiver, Sender};
 use audit::stats::{self, Stage};
-use entry::{Action, Call, Candidate, Event, Origin, Outcome, Price, Treatment, WAY_BACK_US};
+use entry::{Action, Call, Candidate, Event, Origin, Outcome, Price, Treatment, RETURN_TIME_US};
 use futures_util::future::{select, Either};
 use home::{Load, Offer, Suspicion};
 use keys::KeyHash;
 use names::{AttemptId, Moment, Name};
-use quarantine::Standing;
+use quarantine::Verdict;
 use std::future::Future;
 use std::pin::{pin, Pin};
 use std::rc::Rc;
@@ -32,7 +32,7 @@
     /// Since when its objective runs.
     began: Moment,
     /// Whether its caller was refused before.
-    is_return: bool,
+    is_retry: bool,
     price: Price,
     call: Call<Whole>,
     tx: Sender<Event<Whole>>,
@@ -40,15 +40,15 @@
 }
 
 /// How a call ended.
-pub struct Finished {
+pub struct CallResult {
     /// The outcome; none when the caller hung up.
     pub outcome: Option<Outcome<Whole>>,
     /// Whether a home duty that knows the call's idempotency key refused an offer.
-    pub contacted: bool,
+    pub has_certain_refusal: bool,
 }
 
 /// What a call needs to know.
-pub struct Plan {
+pub struct CallPlan {
     /// Upstreams that may serve it.
     pub candidates: Vec<Candidate>,
     /// Upstreams to which no connection is open, for when none of those takes work any more.
@@ -62,15 +62,19 @@
     /// The caller's deadline.
     pub deadline: Moment,
     /// The caller's try, where its objective runs from its first one.
-    pub tried: Option<Try>,
+    pub caller_try: Option<Try>,
     /// What an offer may cost.
     pub price: Price,
     /// The VMs at which it may run, the best first, if an upstream ended while it ran a copy.
-    pub order: Option<Vec<Name>>,
+    pub suspect_order: Option<Vec<Name>>,
 }
 
 /// Takes a request to its outcome.
-pub async fn run_call(node: &Rc<Node>, plan: Plan, hung_up: impl Future<Output = ()>) -> Finished {
+pub async fn run_call(
+    node: &Rc<Node>,
+    plan: CallPlan,
+    hung_up: impl Future<Output = ()>,
+) -> CallResult {
     let (tx, rx) = async_channel::bounded(EVENTS);
     let price = plan.price;
     let call = Call::new(
@@ -81,8 +85,8 @@
     )
     .with_price(price)
     .with_reserve(plan.reserve);
-    let call = match plan.order {
-        Some(order) => call.with_order(order),
+    let call = match plan.suspect_order {
+        Some(order) => call.with_suspect_order(order),
         None => call,
     };
     let mut running = Running {
@@ -90,8 +94,12 @@
         req: plan.req,
         treatment: plan.treatment,
         key: plan.key,
-        began: plan.tried.map_or(node.now(), |tried| tried.first),
-        is_return: plan.tried.is_some_and(|tried| tried.is_return),
+        began: plan
+            .caller_try
+            .map_or(node.now(), |caller_try| caller_try.first_at),
+        is_retry: plan
+            .caller_try
+            .is_some_and(|caller_try| caller_try.is_retry),
         price,
         call,
         tx,
@@ -105,9 +113,9 @@
     if matches!(&outcome, Some(Outcome::Answered(answer)) if !answer.is_error()) {
         containment::answered(node, &running.req);
     }
-    Finished {
+    CallResult {
         outcome,
-        contacted: running.call.was_contacted(),
+        has_certain_refusal: running.call.has_certain_refusal(),
     }
 }
 
@@ -130,7 +138,7 @@
             event = match select(next, hung_up.as_mut()).await {
                 Either::Left((Ok(Ok(event)), _)) => event,
                 Either::Left((_, _)) => self.expired(),
-                Either::Right(((), _)) => Event::HungUp,
+                Either::Right(((), _)) => Event::CallerDisconnected,
             };
         }
     }
@@ -145,7 +153,7 @@
             .waiters
             .borrow()
             .get(&id)
-            .is_some_and(|waiter| waiter.sent_to.is_none());
+            .is_some_and(|waiter| waiter.sent_to_boot.is_none());
         if unsent && links::withdraw(self.node, id) {
             return Event::NotSent(id);
         }
@@ -156,7 +164,7 @@
         let now = self.node.now();
         let is_straggler = matches!(event, Event::Straggles(_));
         // An upstream may have ended under a copy since the call began.
-        if is_straggler && containment::standing(self.node, &self.req) != Standing::Free {
+        if is_straggler && containment::standing(self.node, &self.req) != Verdict::Free {
             self.call.forbid_hedge();
         }
         let actions = {
@@ -178,7 +186,7 @@
                     repeat,
                     suspicion,
                 } => self.offer(id, to, may_queue, repeat, suspicion),
-                Action::Ask { id, to } => links::ask(self.node, &to, id),
+                Action::Query { id, to } => links::ask(self.node, &to, id),
                 Action::Cancel { id, to } => self.cancel(id, &to),
             }
         }
@@ -199,7 +207,7 @@
         let offer = Offer {
             id,
             service: self.req.service.clone(),
-            remaining_us: left.saturating_sub(WAY_BACK_US),
+            remaining_us: left.saturating_sub(RETURN_TIME_US),
             objective_us: self.objective_us(),
             priority: self.treatment.priority,
             level: self.req.level,
@@ -207,7 +215,7 @@
             may_queue,
             repeat,
             suspicion,
-            returned: self.is_return,
+            returned: self.is_retry,
             report_straggler: self.reports_straggler(),
             known_limit: view.known_limit,
             account: None,
@@ -217,15 +225,15 @@
         if repeat {
             stats::repeat_offered();
         }
-        let age_us = node.now().since(view.reported);
+        let age_us = node.now().since(view.reported_at);
         audit::offered(&self.req.id, &offer, &to, &view, age_us);
         self.attempts.push(id);
         let waiter = Waiter {
             tx: self.tx.clone(),
             vm: to.clone(),
-            offered: node.now(),
+            offered_at: node.now(),
             service: self.req.service.clone(),
-            sent_to: local.then_some(node.boot),
+            sent_to_boot: local.then_some(node.boot),
         };
         node.waiters.borrow_mut().insert(id, waiter);
         if local {
@@ -270,9 +278,9 @@
 }
 
 /// Takes in the state of an upstream that came with an answer or a refusal.
-pub fn reported(node: &Rc<Node>, vm: &Name, load: Load) {
+pub fn on_load_report(node: &Rc<Node>, vm: &Name, load: Load) {
     let now = node.now();
-    node.entry.borrow_mut().reported(now, vm, load);
+    node.entry.borrow_mut().on_report(now, vm, load);
 }
 
 /// Hands an event to the call that waits for the attempt; counts it as late when there is none.
@@ -283,7 +291,7 @@
     };
     let waiters = node.waiters.borrow();
     if let Some(waiter) = waiters.get(&id).filter(|_| !event.is_report()) {
-        let took_us = node.now().since(waiter.offered);
+        let took_us = node.now().since(waiter.offered_at);
         stats::took(Stage::Offer, &waiter.service, event.as_str(), took_us);
     }
     let delivered = waiters
@@ -293,7 +301,7 @@
         stats::late("event");
         if let Some(refusal) = refusal {
             let mut entry = node.entry.borrow_mut();
-            entry.refused_late(node.now(), id, &refusal);
+            entry.on_late_refusal(node.now(), id, &refusal);
         }
     }
 }
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -1,14 +1,14 @@
 //! One request at the upstream beside this node: what the upstream is told, and what its answer means.
 
 use crate::containment;
-use crate::entry_driver::reported;
+use crate::entry_driver::on_load_report;
 use crate::home_driver::leaving_changed;
 use crate::node::{Job, Node, Whole};
 use crate::registration::{self, Registration};
 use crate::upstream_notices;
 use audit::stats;
 use errors::Error;
-use home::{Earlier, Home, Verdict};
+use home::{Home, PriorStarts, Verdict};
 use names::{AttemptId, Moment, MILLISECOND};
 use registry::Incarnation;
 use std::rc::Rc;
@@ -86,7 +86,8 @@
 fn is_cold(node: &Node) -> bool {
     let now = node.now();
     let home = node.home.borrow();
-    home.as_ref().is_some_and(|home| home.cold().is_cold(now))
+    home.as_ref()
+        .is_some_and(|home| home.cold_limiter().is_cold(now))
 }
 
 /// What the upstream is told beside the request; `expected` is the start of it that is meant.
@@ -138,8 +139,8 @@
         tracing::info!(?expected, other, "another upstream stands at the address");
         if let Some(expected) = expected {
             // The one that was meant, which need not be the one that stands here by now.
-            if registration.local.borrow_mut().is_not(expected) {
-                registration::local_changed(node, registration, Earlier::Until(node.started));
+            if registration.local.borrow_mut().mark_absent(expected) {
+                registration::local_changed(node, registration, PriorStarts::Until(node.started));
             }
         }
         return (Verdict::Shed, None);
@@ -179,7 +180,7 @@
 /// at 295 VMs was nine in ten of the messages between nodes.
 fn slowness(node: &Rc<Node>, percent: u32) {
     let now = node.now();
-    let told = |home: &mut Home<Whole>| home.slowness_reported(now, percent);
+    let told = |home: &mut Home<Whole>| home.slowdown_reported(now, percent);
     let changed = node.home.borrow_mut().as_mut().is_some_and(told);
     if changed {
         pace_changed(node);
@@ -188,7 +189,7 @@
 
 /// Takes in for this node's own choices that the pace of the upstream beside it has changed.
 pub fn pace_changed(node: &Rc<Node>) {
-    reported(node, &node.cfg.vm, node.load());
+    on_load_report(node, &node.cfg.vm, node.load());
 }
 
 /// Reads the headers by which an upstream says that it leaves or did not start the request.
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -3,7 +3,7 @@
 use crate::boot_record;
 use crate::containment;
 use crate::exchange;
-use crate::jobs::account_of;
+use crate::jobs::fair_share_account;
 use crate::links::Reply;
 use crate::local;
 use crate::look;
@@ -16,7 +16,7 @@
 use budget::Act;
 use futures_util::future::{select, Either};
 use home::{
-    Action, AskReply, ColdCapacity, Earlier, Home, Load, Offer, ProbeResult, Reason, Refusal,
+    Action, ColdCapacity, Home, Load, Offer, PriorStarts, ProbeResult, QueryReply, Reason, Refusal,
     Verdict,
 };
 use keys::{ClaimReply, KeyHash};
@@ -49,7 +49,7 @@
 ) {
     let now = node.now();
     let offer = Offer {
-        account: account_of(node, &req),
+        account: fair_share_account(node, &req),
         ..offer
     };
     if let Some(refusal) = containment::barred(node, &offer, &req) {
@@ -66,15 +66,15 @@
     }
     let job = Job {
         suspect: containment::is_suspect(node, &offer, &req),
-        ended: None,
+        termination: None,
         leaving: None,
         req,
         reply: reply.clone(),
         deadline: now + offer.remaining_us,
         key,
         priority: offer.priority,
-        taken_in: now,
-        started: None,
+        arrived_at: now,
+        started_at: None,
         repeatable: offer.repeatable,
         repeat: offer.repeat,
         cancel: None,
@@ -127,7 +127,7 @@
     stats::attempt_refused(refusal.reason.as_str());
     let now = node.now();
     if let Some(home) = node.home.borrow_mut().as_mut() {
-        home.ask(now, id, node.boot);
+        home.query(now, id, node.boot);
     }
     let load = node.load();
     reply.send(node, Frame::Refused { id, refusal, load });
@@ -140,8 +140,8 @@
         .home
         .borrow_mut()
         .as_mut()
-        .map_or(AskReply::Forgotten, |home| home.ask(now, id, boot));
-    if reply == AskReply::Started {
+        .map_or(QueryReply::Forgotten, |home| home.query(now, id, boot));
+    if reply == QueryReply::Started {
         if let Some(job) = node.jobs.borrow_mut().get_mut(&id) {
             job.reply = route.clone();
         }
@@ -188,7 +188,7 @@
 }
 
 /// Takes in that another run of the upstream stands beside this node.
-pub fn upstream_replaced(node: &Rc<Node>, run: &registry::Instance, earlier: Earlier) {
+pub fn upstream_replaced(node: &Rc<Node>, run: &registry::Instance, earlier: PriorStarts) {
     match run.address.parse() {
         Ok(address) => {
             if let Some(pool) = &node.pool {
@@ -203,7 +203,7 @@
         }
     }
     let now = node.now();
-    with_home(node, |home| home.replaced(now, run.slots, earlier));
+    with_home(node, |home| home.upstream_replaced(now, run.slots, earlier));
     cold_capacity_changed(node);
 }
 
@@ -217,22 +217,22 @@
 /// What the upstream bears while it is cold; nothing before any declarations are known.
 fn cold_capacity(node: &Node) -> ColdCapacity {
     let Some(registration) = &node.registration else {
-        return ColdCapacity::Any;
+        return ColdCapacity::Unlimited;
     };
     let Some(in_force) = node.in_force() else {
-        return ColdCapacity::Most {
-            starts: 0,
+        return ColdCapacity::Limited {
+            starts_per_s: 0,
             cold_us: u64::MAX,
         };
     };
     let service = registration::service(registration);
     let registered = service.and_then(|service| in_force.declarations.registered.get(&service));
     match registered.and_then(|registered| registered.cold) {
-        Some(cold) => ColdCapacity::Most {
-            starts: node.cfg.cold.most(cold.starts_per_s),
-            cold_us: cold.lasts_ms * MILLISECOND,
+        Some(cold) => ColdCapacity::Limited {
+            starts_per_s: node.cfg.cold.most(cold.starts_per_s),
+            cold_us: cold.duration_ms * MILLISECOND,
         },
-        None => ColdCapacity::Any,
+        None => ColdCapacity::Unlimited,
     }
 }
 
@@ -251,7 +251,8 @@
     let left_us = || {
         let now = node.now();
         let home = node.home.borrow();
-        home.as_ref().map_or(0, |home| home.cold().left_us(now))
+        home.as_ref()
+            .map_or(0, |home| home.cold_limiter().left_us(now))
     };
     let before_us = left_us();
     take_in();
@@ -272,14 +273,14 @@
     tracing::info!(leaving, "the upstream's state changed");
     with_home(node, |home| {
         if leaving {
-            home.leave(now)
+            home.start_drain(now)
         } else {
-            home.stay();
+            home.end_drain();
             Vec::new()
         }
     });
     let own = node.cfg.vm.clone();
-    node.entry.borrow_mut().leaving(now, &own, leaving);
+    node.entry.borrow_mut().set_draining(now, &own, leaving);
     for reply in node.incoming.borrow().values() {
         reply.send(node, Frame::Leaving { leaving });
     }
@@ -346,10 +347,10 @@
     let now = node.now();
     let before = node.load().slow_percent;
     noting_cold(node, "look", || {
-        with_home(node, |home| home.probed(now, probed));
+        with_home(node, |home| home.probe_finished(now, probed));
     });
     let told = match probed {
-        ProbeResult::Told { percent, .. } => percent,
+        ProbeResult::Reported { percent, .. } => percent,
         _ => None,
     };
     if told.is_some_and(|percent| percent != before) {
@@ -404,14 +405,14 @@
     };
     let service = &job.req.service;
     let now = node.now();
-    let waited_until = job.started.unwrap_or(now);
+    let waited_until = job.started_at.unwrap_or(now);
     stats::took(
         Stage::Queue,
         service,
         outcome,
-        waited_until.since(job.taken_in),
+        waited_until.since(job.arrived_at),
     );
-    if let Some(started) = job.started {
+    if let Some(started) = job.started_at {
         stats::took(Stage::Upstream, service, outcome, now.since(started));
     }
 }
@@ -421,11 +422,13 @@
     let caller_id = jobs.get(&id).map_or("-", |job| job.req.id.as_str());
     let now = node.now();
     let home = node.home.borrow();
-    let pace_age_us = home.as_ref().and_then(|home| home.pace().age_us(now));
+    let pace_age_us = home.as_ref().and_then(|home| home.slowdown().age_us(now));
     let load = home
         .as_ref()
         .map_or_else(Load::default, |home| home.load(now));
-    let account = jobs.get(&id).and_then(|job| account_of(node, &job.req));
+    let account = jobs
+        .get(&id)
+        .and_then(|job| fair_share_account(node, &job.req));
     let account_load = home.as_ref().map(|home| home.account_load(&account));
     let account = account.as_ref().zip(account_load);
     audit::home(caller_id, id, decision, reason, load, pace_age_us, account);
@@ -446,11 +449,11 @@
         let mut jobs = node.jobs.borrow_mut();
         let job = jobs.get_mut(&id).expect("a started attempt has a job");
         job.cancel = Some(tx);
-        job.started = Some(now);
+        job.started_at = Some(now);
         job.clone()
     };
     if let Some(key) = job.key {
-        node.claims.borrow_mut().started(key, id);
+        node.claims.borrow_mut().attempt_started(key, id);
     }
     let node = node.clone();
     local::spawn(async move {
@@ -475,7 +478,7 @@
     if matches!(verdict, Verdict::Shed | Verdict::NotSent) {
         let jobs = node.jobs.borrow();
         if let Some(key) = jobs.get(&id).and_then(|job| job.key) {
-            node.claims.borrow_mut().not_run(key, id);
+            node.claims.borrow_mut().attempt_not_run(key, id);
         }
     }
     let req = node.jobs.borrow().get(&id).map(|job| job.req.clone());
@@ -502,7 +505,7 @@
             end_job(node, id, frame);
         }
         None => {
-            let ended = node.jobs.borrow().get(&id).and_then(|job| job.ended);
+            let ended = node.jobs.borrow().get(&id).and_then(|job| job.termination);
             end_job(node, id, Frame::Broken { id, load, ended });
         }
     }
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -1,7 +1,7 @@
 //! What a node does with each frame.
 
 use super::Reply;
-use crate::entry_driver::{deliver, reported};
+use crate::entry_driver::{deliver, on_load_report};
 use crate::node::Node;
 use crate::{
     configuration, containment, coordinator, home_driver, recovery, registration, relay,
@@ -9,7 +9,7 @@
 };
 use audit::Origin;
 use entry::Event;
-use home::AskReply;
+use home::QueryReply;
 use names::Name;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,16 +29,16 @@
             keys,
             uncertain_us,
         } => recovery::answered(node, id, keys.map(|keys| (keys, uncertain_us))),
-        Frame::Release { by, key } => node.claims.borrow_mut().released(key, by),
+        Frame::Release { by, key } => node.claims.borrow_mut().release(key, by),
         Frame::Ask { id, boot } => home_driver::ask(node, id, boot, reply.clone()),
         Frame::Cancel { id } => home_driver::cancel(node, id),
         Frame::Heartbeat => reply.send(node, Frame::Alive { load: node.load() }),
         Frame::Refused { id, refusal, load } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             deliver(node, id, Event::Refused(id, refusal));
         }
         Frame::Revoked { id, load } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             deliver(node, id, Event::Revoked(id));
         }
         Frame::Answered {
@@ -47,7 +47,7 @@
             load,
             leaving,
         } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             if let Some(incarnation) = leaving {
                 upstream_notices::leaving_told(node, from, &incarnation);
             }
@@ -55,7 +55,7 @@
             deliver(node, id, Event::Answered { id, answer, error });
         }
         Frame::Broken { id, load, ended } => {
-            reported(node, from, load);
+            on_load_report(node, from, load);
             let event = match ended {
                 Some(suspect) => containment::event(node, id, suspect),
                 None => Event::Broken(id),
@@ -69,12 +69,12 @@
         }
         Frame::Told { id, reply } => told(node, id, reply),
         Frame::Alive { load } => {
-            reported(node, from, load);
-            node.entry.borrow_mut().trust(from);
+            on_load_report(node, from, load);
+            node.entry.borrow_mut().mark_responsive(from);
         }
         Frame::Leaving { leaving } => {
             let now = node.now();
-            node.entry.borrow_mut().leaving(now, from, leaving);
+            node.entry.borrow_mut().set_draining(now, from, leaving);
         }
         Frame::Relay {
             id,
@@ -146,7 +146,7 @@
         Frame::Quota(message) => {
             let in_force = node.in_force();
             let accounts = in_force.as_ref().map(|it| &it.declarations.accounts);
-            let answer = node.quotas.heard(node.now(), from, message, accounts);
+            let answer = node.quotas.on_message(node.now(), from, message, accounts);
             if let Some(answer) = answer {
                 reply.send(node, Frame::Quota(answer));
             }
@@ -154,6 +154,6 @@
     }
 }
 
-fn told(node: &Rc<Node>, id: names::AttemptId, reply: AskReply<crate::node::Whole>) {
-    deliver(node, id, Event::Told(id, reply));
+fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::Whole>) {
+    deliver(node, id, Event::QueryReplied(id, reply));
 }
--- a/components/daemon/src/links/heartbeat.rs
+++ b/components/daemon/src/links/heartbeat.rs
@@ -95,9 +95,9 @@
     match up.asked.get() {
         Some(asked) if now.since(asked) > SILENT_US => {
             for id in attempts {
-                entry_driver::deliver(node, *id, Event::Silent(*id));
+                entry_driver::deliver(node, *id, Event::NodeUnresponsive(*id));
             }
-            node.entry.borrow_mut().suspect(now, vm);
+            node.entry.borrow_mut().mark_unresponsive(now, vm);
             questions_lost(node, vm);
             if now.since(up.heard.get().max(up.opened)) > DEAD_US {
                 up.cut.try_send(()).ok();
@@ -122,7 +122,7 @@
 fn waiting_by_vm(node: &Rc<Node>) -> HashMap<Name, Vec<AttemptId>> {
     let mut waiting: HashMap<Name, Vec<AttemptId>> = HashMap::new();
     for (id, waiter) in node.waiters.borrow().iter() {
-        if waiter.sent_to.is_some() {
+        if waiter.sent_to_boot.is_some() {
             waiting.entry(waiter.vm.clone()).or_default().push(*id);
         }
     }
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -143,7 +143,7 @@
         .waiters
         .borrow()
         .get(&id)
-        .and_then(|waiter| waiter.sent_to);
+        .and_then(|waiter| waiter.sent_to_boot);
     match boot {
         Some(boot) => transmit(node, to, Frame::Ask { id, boot }),
         None => entry_driver::deliver(node, id, Event::NotSent(id)),
@@ -191,34 +191,34 @@
         self.0.now()
     }
 
-    fn me(&self) -> Name {
+    fn own_vm(&self) -> Name {
         self.0.cfg.vm.clone()
     }
 
     fn nodes(&self) -> Vec<Name> {
         let Some(registration) = &self.0.registration else {
             let others = self.0.others().into_iter().map(|(vm, _)| vm);
-            return others.chain([self.me()]).collect();
+            return others.chain([self.own_vm()]).collect();
         };
         let fleet = registration.fleet.borrow();
         let staying = fleet.records().filter(|record| !record.is_gone());
         staying.map(|record| record.vm.clone()).collect()
     }
 
-    fn hall(&self) -> Vec<Name> {
-        let me = self.me();
+    fn in_hall(&self) -> Vec<Name> {
+        let me = self.own_vm();
         let mut nodes = quota::Peers::nodes(self);
         nodes.retain(|vm| *vm != me && self.0.hall_of(vm).as_ref() == Some(&self.0.cfg.hall));
         nodes
     }
 
-    fn near(&self) -> Vec<Name> {
+    fn connected_in_hall(&self) -> Vec<Name> {
         let near = self.0.others().into_iter();
         let near = near.filter(|(vm, same_hall)| *same_hall && is_up(&self.0, vm));
         near.map(|(vm, _)| vm).collect()
     }
 
-    fn is_up(&self, vm: &Name) -> bool {
+    fn is_connected(&self, vm: &Name) -> bool {
         is_up(&self.0, vm)
     }
 
@@ -345,7 +345,7 @@
 fn transmit_up(node: &Rc<Node>, up: &UpLink, frame: Frame) {
     if let Frame::Ask { id, boot } = &frame {
         if *boot != up.boot {
-            entry_driver::deliver(node, *id, Event::Gone(*id));
+            entry_driver::deliver(node, *id, Event::NodeGone(*id));
             return;
         }
     }
@@ -356,7 +356,7 @@
     up.used.set(node.now());
     if let Frame::Offer { offer, .. } = &frame {
         if let Some(waiter) = node.waiters.borrow_mut().get_mut(&offer.id) {
-            waiter.sent_to = Some(up.boot);
+            waiter.sent_to_boot = Some(up.boot);
         }
     }
 }
@@ -371,7 +371,7 @@
         Frame::Offer { offer, .. } => {
             entry_driver::deliver(node, offer.id, Event::NotSent(offer.id));
         }
-        Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::Gone(*id)),
+        Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::NodeGone(*id)),
         Frame::Relay { id, .. } => relay::relayed(node, *id, Relayed::NotSent),
         Frame::Recover { id } => recovery::answered(node, *id, None),
         Frame::Claim { id, .. } => coordinator::claimed(node, *id, ClaimReply::Uncertain),
@@ -381,16 +381,16 @@
 
 /// The connection to `vm` broke: whoever has something there is told.
 fn lost(node: &Rc<Node>, vm: &Name) {
-    node.fetch.borrow_mut().lost(vm);
+    node.fetch.borrow_mut().on_connection_lost(vm);
     let lost: Vec<AttemptId> = node
         .waiters
         .borrow()
         .iter()
-        .filter(|(_, waiter)| waiter.vm == *vm && waiter.sent_to.is_some())
+        .filter(|(_, waiter)| waiter.vm == *vm && waiter.sent_to_boot.is_some())
         .map(|(id, _)| *id)
         .collect();
     for id in lost {
-        entry_driver::deliver(node, id, Event::Lost(id));
+        entry_driver::deliver(node, id, Event::ConnectionLost(id));
     }
     questions_lost(node, vm);
 }
@@ -435,7 +435,7 @@
             let confirmed_us_ago = summary.confirmed_us_ago;
             summary.confirmed_us_ago = confirmed_us_ago.map(|us| us.saturating_add(late_us));
         }
-        Frame::Quota(message) => message.age(late_us),
+        Frame::Quota(message) => message.subtract_delay(late_us),
         _ => {}
     }
 }
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -15,16 +15,16 @@
 use budget::{Gate, HallBudget};
 use clock::Clock;
 use declarations::{Route, Service};
-use entry::{Candidate, Entry, RetryRate, Rule, Split};
+use entry::{Candidate, Entry, RetryBudgetConfig, SelectionRule, WeightedRoundRobin};
 use evacuation::Evacuated;
 use home::{Home, Load};
-use keys::{ClaimReply, Claims, KeyHash, Table, KEY_KEPT_US};
+use keys::{ClaimReply, Claims, KeyHash, KeyTable, KEY_RETENTION_US};
 use membership::View;
 use names::{AttemptId, BootId, Moment, Name, MILLISECOND};
 use platform::{Adapter, Client};
 use quarantine::Fingerprint;
 use quota::{Bounds, Quotas};
-use returning::Returning;
+use returning::CallerRetries;
 use rollout::{Fetch, InForce, Rollout, Summary};
 use settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -33,7 +33,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use upstream::Pool;
-use watch::{FirstRead, Timing, Waiting, Watch};
+use watch::{FirstRead, Timing, WaitingCallers, Watch};
 use wire::{Answer, RelayOutcome};
 
 /// Keys that a node remembers at most.
@@ -107,7 +107,7 @@
     /// Connections from other nodes.
     pub incoming: RefCell<HashMap<u64, Reply>>,
     /// Idempotency keys this node coordinates.
-    pub keys: RefCell<Table<Whole>>,
+    pub keys: RefCell<KeyTable<Whole>>,
     /// Idempotency keys granted or run at the upstream beside this node.
     pub claims: RefCell<Claims>,
     /// Relays that wait for the same key.
@@ -127,7 +127,7 @@
     /// The first read of the declarations, before which other work waits.
     pub first_read: RefCell<FirstRead>,
     /// Callers that wait for the first declarations.
-    pub blank_waiters: Waiting,
+    pub blank_waiters: WaitingCallers,
     /// Wakes them when declarations come into force or their first read ends.
     pub first_declarations: Wakeup,
     /// Wakes callers that wait for an upstream when other nodes have become known.
@@ -141,11 +141,11 @@
     /// Shares and tokens of limited client accounts.
     pub quotas: Quotas,
     /// Requests that this node has refused and whose callers may come back.
-    pub returning: RefCell<Returning<Fingerprint>>,
+    pub returning: RefCell<CallerRetries<Fingerprint>>,
     /// Whether functions whose mode is `auto` are on.
     pub activation: Activation,
     /// Turns of the services among which routes are split.
-    pub splits: RefCell<HashMap<Name, Split>>,
+    pub splits: RefCell<HashMap<Name, WeightedRoundRobin>>,
     /// What the platform last said of itself.
     pub platform_state: RefCell<PlatformState>,
     /// Whether a planned stop has begun.
@@ -176,14 +176,14 @@
     /// A node that has just started.
     pub fn new(cfg: Settings, adapter: Option<Box<dyn Adapter>>) -> Rc<Node> {
         let clock = Clock::start();
-        let boot = BootId::draw();
+        let boot = BootId::random();
         let registration = adapter.map(|adapter| Rc::new(Registration::new(&cfg, boot, adapter)));
         let home = cfg.upstream.map(|_| {
             let limits = home::Config {
                 slots: cfg.slots,
-                usable: cfg.usable,
+                usable_fraction: cfg.usable,
                 adaptive: registration.is_none(),
-                looks: cfg.looks_per_s > 0 && registration.is_some(),
+                can_probe: cfg.looks_per_s > 0 && registration.is_some(),
                 seed: boot.0,
                 ..home::Config::default()
             };
@@ -206,7 +206,7 @@
             next_question: Cell::new(0),
             links: RefCell::default(),
             incoming: RefCell::default(),
-            keys: RefCell::new(Table::new(MAX_KEYS, MAX_KEY_ANSWERS)),
+            keys: RefCell::new(KeyTable::new(MAX_KEYS, MAX_KEY_ANSWERS)),
             claims: RefCell::new(Claims::new(MAX_KEYS)),
             key_waiters: RefCell::default(),
             gate: RefCell::new(Gate::new(clock.now())),
@@ -216,7 +216,7 @@
             view: RefCell::default(),
             watch: RefCell::new(watch(&cfg, clock.now(), boot)),
             first_read: RefCell::new(FirstRead::new(clock.now())),
-            blank_waiters: Waiting::default(),
+            blank_waiters: WaitingCallers::default(),
             first_declarations: Wakeup::default(),
             fleet_change: Wakeup::default(),
             platform: Rc::new(Client::new(cfg.platform.clone())),
@@ -323,8 +323,8 @@
             list_version: self.view.borrow().list().version,
             confirmed_us_ago: self.watch.borrow().age_us(self.now()),
             era: store::known(self),
-            content: rollout.content(),
-            read: rollout.read(),
+            content_id: rollout.content_id(),
+            read_at: rollout.read_at(),
             evacuated: self.evacuated(),
         }
     }
@@ -389,8 +389,8 @@
         };
         let nodes = registration.fleet.borrow().len();
         let limit = self.live.borrow().retries;
-        let rate = RetryRate::share(limit.ratio, limit.slack, nodes);
-        self.entry.borrow_mut().set_retry_rate(rate);
+        let rate = RetryBudgetConfig::node_share(limit.ratio, limit.slack, nodes);
+        self.entry.borrow_mut().set_retry_config(rate);
         self.refresh_budget();
         self.fleet_change.wake();
     }
@@ -408,7 +408,7 @@
                 Some(Candidate {
                     vm: vm.clone(),
                     same_hall: listed.hall == self.cfg.hall,
-                    own: *vm == self.cfg.vm,
+                    local: *vm == self.cfg.vm,
                 })
             })
             .collect()
@@ -430,7 +430,7 @@
         let mut members = current.to_vec();
         let moved = self.moved.borrow();
         for (at, before) in moved.get(service).into_iter().flatten() {
-            if now.since(*at) > KEY_KEPT_US {
+            if now.since(*at) > KEY_RETENTION_US {
                 continue;
             }
             for vm in before {
@@ -455,13 +455,13 @@
         let mut nodes = self.view.borrow().in_hall(&self.cfg.hall).count() as u32;
         if let Some(registration) = &self.registration {
             let fleet = registration.fleet.borrow();
-            nodes = fleet.hall(&self.cfg.hall).count() as u32;
+            nodes = fleet.in_hall(&self.cfg.hall).count() as u32;
             hall.messages_per_s = hall.messages_per_s.max(REGISTERED_MESSAGES_PER_S);
         }
         let now = self.now();
         let mut gate = self.gate.borrow_mut();
-        gate.set(now, hall, nodes);
-        gate.set_looks(now, f64::from(self.cfg.looks_per_s) * LOOKS_PART);
+        gate.set_hall_budget(now, hall, nodes);
+        gate.set_probe_rate(now, f64::from(self.cfg.looks_per_s) * LOOKS_PART);
     }
 }
 
@@ -476,7 +476,7 @@
 }
 
 fn watch(cfg: &Settings, now: Moment, boot: BootId) -> Watch {
-    let timing = Timing::of(cfg.in_force_within_ms * MILLISECOND);
+    let timing = Timing::for_bound(cfg.in_force_within_ms * MILLISECOND);
     Watch::new(cfg.vm.clone(), timing, now, cfg.first_start, boot.0)
 }
 
@@ -488,11 +488,11 @@
     }
 }
 
-fn rule(name: &str) -> Rule {
+fn rule(name: &str) -> SelectionRule {
     match name {
-        "random" => Rule::Random,
-        "priced" => Rule::Priced,
-        "two-choices" => Rule::TwoChoices,
-        _ => Rule::Expected,
+        "random" => SelectionRule::Random,
+        "priced" => SelectionRule::Priced,
+        "two-choices" => SelectionRule::TwoChoices,
+        _ => SelectionRule::Expected,
     }
 }
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -21,23 +21,25 @@
 use audit::StartupRecords;
 use era::Eras;
 use evacuation::Evacuations;
-use home::Earlier;
+use home::PriorStarts;
 use names::{BootId, Moment, Name};
 use platform::Adapter;
 use quarantine::Fingerprint;
-use registry::{Beside, Declared, Fleet, Incarnation, Instance, Local, Record, Version};
+use registry::{
+    ConfiguredUpstream, Declared, Fleet, Incarnation, Instance, LocalUpstream, Record, Version,
+};
 use rollout::InForce;
 use settings::Settings;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use watch::Postponed;
+use watch::PostponedPeers;
 
 /// What a node keeps of a registered fleet.
 pub struct Registration {
     /// Translates the platform's words.
     pub adapter: Box<dyn Adapter>,
     /// The upstream beside this node.
-    pub local: RefCell<Local>,
+    pub local: RefCell<LocalUpstream>,
     /// All nodes.
     pub fleet: RefCell<Fleet>,
     /// Whether the records in the store were read.
@@ -51,7 +53,7 @@
     /// Records that arrive at the start and are told in one line.
     pub startup_records: RefCell<StartupRecords>,
     /// Peers that told of newer declarations while this node asked nobody.
-    pub postponed: RefCell<Postponed<Reply>>,
+    pub postponed: RefCell<PostponedPeers<Reply>>,
     /// Whether this node's record has been sent to open connections only, because its declarations are being read.
     announcement_deferred: Cell<bool>,
     /// Whether an upstream that this node has named is gone or replaced. Its record is not deferred from then on.
@@ -80,7 +82,7 @@
             },
             serving: true,
             upstream: None,
-            held: Vec::new(),
+            quarantined: Vec::new(),
         };
         Registration {
             adapter,
@@ -109,7 +111,7 @@
 
     /// Whether the upstreams of a hall get no new work, because operators say so.
     pub fn is_evacuated(&self, now: Moment, hall: &Name) -> bool {
-        self.evacuations.borrow().covers(now, hall)
+        self.evacuations.borrow().is_evacuated(now, hall)
     }
 
     fn store_soon(&self) {
@@ -127,7 +129,7 @@
     told: &Instance,
     source: &'static str,
 ) -> bool {
-    if registration.local.borrow().is_known_by(told) {
+    if registration.local.borrow().is_current(told) {
         // It was believed before, and goes on, whatever the settings say by now.
         return true;
     }
@@ -142,9 +144,9 @@
 }
 
 /// What the settings say of the upstream beside this node.
-pub fn beside(node: &Node) -> Beside {
+pub fn beside(node: &Node) -> ConfiguredUpstream {
     let live = node.live.borrow();
-    Beside {
+    ConfiguredUpstream {
         service: live.service.clone(),
         address: live.upstream,
     }
@@ -166,20 +168,20 @@
 
 /// Brings the home duty and this node's record in line with what is known of the upstream beside
 /// it, and tells the others. `earlier`: whether an earlier run of this node may have sent it work.
-pub fn local_changed(node: &Rc<Node>, registration: &Registration, earlier: Earlier) {
+pub fn local_changed(node: &Rc<Node>, registration: &Registration, earlier: PriorStarts) {
     let current = registration.local.borrow().current().cloned();
     let before = registration.fleet.borrow().own().upstream.clone();
     let was_known = |run: &&Instance| {
         let run = run.incarnation();
         let mut before = before.iter();
-        before.any(|before| before.incarnation().is(&run))
+        before.any(|before| before.incarnation().matches(&run))
     };
     if let Some(current) = current.as_ref().filter(|run| !was_known(run)) {
         let is_namesake = before
             .as_ref()
             .is_some_and(|before| before.id == current.id);
         let earlier = if is_namesake {
-            Earlier::SameIdentity
+            PriorStarts::SameIdentity
         } else {
             earlier
         };
@@ -214,7 +216,7 @@
     let own = registration
         .fleet
         .borrow_mut()
-        .change_own(|own| own.held = held);
+        .change_own(|own| own.quarantined = held);
     audit::own_record(&own);
     peers::tell_all(node, registration, &own);
     registration.store_soon();
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -39,7 +39,10 @@
 /// This node's record stands in the store of `era`.
 pub(super) fn done(node: &Node, registration: &Registration, era: Option<Era>) {
     let was_due = is_due(registration);
-    registration.eras.borrow_mut().offered(node.now(), era);
+    registration
+        .eras
+        .borrow_mut()
+        .record_stored(node.now(), era);
     if was_due {
         stats::record_offered("itself");
         tracing::info!(
@@ -83,7 +86,7 @@
 
 /// A node that the store answers, as far as is heard; any other if there is none.
 fn pick(node: &Rc<Node>) -> Option<Name> {
-    let answered = node.watch.borrow().answered_nodes(node.now());
+    let answered = node.watch.borrow().active_watchers(node.now());
     let connected = |vm: &&Name| links::is_up(node, vm);
     let answered: Vec<&Name> = answered.iter().filter(connected).collect();
     if let Some(vm) = answered.choose(&mut rand::rng()) {
@@ -96,7 +99,7 @@
 
 /// Writes another node's record to the store for it.
 pub fn store_for(node: &Rc<Node>, registration: &Rc<Registration>, record: Record) {
-    if registration.storing.get() >= MOST_STORING || !record.version.is_reachable() {
+    if registration.storing.get() >= MOST_STORING || !record.version.is_plausible() {
         stats::bad_input("peer");
         tracing::info!(vm = %record.vm, "another node's record is not written: too many at once, or no node has its version");
         return;
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -3,7 +3,7 @@
 use crate::node::{Node, Whole};
 use crate::registration::{self, Registration};
 use audit::stats;
-use home::{Earlier, Home, Offer};
+use home::{Home, Offer, PriorStarts};
 use names::{AttemptId, Moment, Name};
 use notices::{HeaderNames, Notice};
 use registry::Incarnation;
@@ -18,7 +18,7 @@
         audit::bad_notice(id, problem);
     }
     limit_told(node, id, "answer", |home, now| {
-        home.limit_noticed(now, notice.rate)
+        home.limit_advertised(now, notice.rate)
     });
     notice
 }
@@ -34,10 +34,10 @@
     if let Some(job) = node.jobs.borrow_mut().get_mut(&id) {
         job.leaving = Some(incarnation.clone());
     }
-    let is_news = registration.local.borrow_mut().drains(incarnation);
+    let is_news = registration.local.borrow_mut().on_drain(incarnation);
     if is_news {
         audit::leaving_noticed(incarnation, &node.cfg.vm);
-        registration::local_changed(node, registration, Earlier::Unknowing);
+        registration::local_changed(node, registration, PriorStarts::None);
     }
 }
 
@@ -47,7 +47,7 @@
         return;
     };
     let mut fleet = registration.fleet.borrow_mut();
-    let is_news = fleet.upstream_leaves(vm, incarnation);
+    let is_news = fleet.set_upstream_draining(vm, incarnation);
     if is_news && *vm != node.cfg.vm {
         audit::leaving_noticed(incarnation, vm);
     }
@@ -58,7 +58,7 @@
     if offer.known_limit.is_some() {
         let id = offer.id.to_string();
         limit_told(node, &id, from.as_str(), |home, now| {
-            home.limit_recalled(now, offer)
+            home.limit_restored(now, offer)
         });
     }
 }
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -2,7 +2,7 @@
 
 use super::{Manner, WATCH};
 use crate::configuration::{self, BREATH};
-use crate::counted::Counted;
+use crate::counted::CountGuard;
 use crate::node::Node;
 use crate::registration::Registration;
 use crate::store::called;
@@ -10,10 +10,10 @@
 use audit::stats::{self, Work};
 use audit::Origin;
 use audit::Purpose;
-use era::{Era, Place};
+use era::{Era, Position};
 use errors::{contained, Error, Result, Step};
 use platform::{Reading, Stored, Watched};
-use rollout::{Change, Unchecked};
+use rollout::{Change, UncheckedRevision};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 /// Asks for the declarations.
 pub async fn declarations(node: &Rc<Node>, manner: Manner) -> Result<()> {
     let registration = registration(node)?;
-    let place = registration.eras.borrow().place();
+    let place = registration.eras.borrow().position();
     let after = match (place, manner) {
         (Some(after), Manner::Now | Manner::Wait) => after,
         (None, Manner::Now | Manner::Wait) => return list(node, Reading::Newest).await,
@@ -52,7 +52,7 @@
         }
         Watched::Forgotten => {
             tracing::info!(after = after.revision, "the declarations are read anew");
-            registration.eras.borrow_mut().forget_place();
+            registration.eras.borrow_mut().forget_position();
             if manner == Manner::Now {
                 list(node, Reading::Newest).await?;
             }
@@ -64,9 +64,9 @@
 /// Reads the declarations for this node alone, because copies between nodes would take longer. A node that has none
 /// yet takes an answer that may lag, which costs a tenth; what it misses it is told by others.
 pub async fn read_anew(node: &Rc<Node>) -> Result<()> {
-    if node.rollout.borrow().newest() == 0 {
+    if node.rollout.borrow().newest_revision() == 0 {
         list(node, Reading::MayLag).await?;
-        if node.rollout.borrow().newest() > 0 {
+        if node.rollout.borrow().newest_revision() > 0 {
             return Ok(());
         }
     }
@@ -101,7 +101,7 @@
     objects: &[Stored],
     era: Option<Era>,
 ) {
-    let _taking_in = Counted::begin(&registration.taking_in);
+    let _taking_in = CountGuard::new(&registration.taking_in);
     let (_, name) = registration.adapter.declarations();
     for object in objects.iter().filter(|object| object.name.as_str() == name) {
         let began = node.now();
@@ -122,7 +122,7 @@
             audit::copy_is_older(written.version, in_force, era);
             continue;
         }
-        let read = Place {
+        let read = Position {
             era,
             revision: object.revision,
         };
@@ -130,9 +130,10 @@
             task::sleep(BREATH).await;
         }
         let change = change(&written);
-        let unchecked = Unchecked::make(written.version, change, written.bundle, read);
+        let unchecked =
+            UncheckedRevision::from_bundle(written.version, change, written.bundle, read);
         let head = &unchecked.configuration().head;
-        let wanted = node.rollout.borrow_mut().wants(head, read);
+        let wanted = node.rollout.borrow_mut().precheck(head, read);
         if wanted.is_ok() {
             configuration::take_in(node, unchecked, Origin::Store).await;
         }
--- a/components/declarations/src/model.rs
+++ b/components/declarations/src/model.rs
@@ -1,6 +1,6 @@
 //! Checked declarations, ready for use.
 
-use crate::route::{CallerLimits, Registered, Route};
+use crate::route::{CallerLimits, RegisteredService, Route};
 use crate::steps::RouteSections;
 use accounts::Accounts;
 use names::Name;
@@ -38,7 +38,7 @@
 
 /// What one hall may spend on measuring.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct HallMeasuring {
+pub struct MeasuringBudget {
     /// Messages per second.
     pub messages_per_s: f64,
     /// Slot time per second, in microseconds.
@@ -53,13 +53,13 @@
     /// Groups by name.
     pub groups: BTreeMap<Name, Group>,
     /// Measuring budgets by hall.
-    pub halls: BTreeMap<Name, HallMeasuring>,
+    pub halls: BTreeMap<Name, MeasuringBudget>,
     /// Services by the value of `Host`.
     pub hosts: HashMap<String, Name>,
     /// Services by path prefix, the longest first.
     pub prefixes: Vec<(String, Name)>,
     /// Services whose upstreams register themselves.
-    pub registered: BTreeMap<Name, Registered>,
+    pub registered: BTreeMap<Name, RegisteredService>,
     /// Routes by host, the longest path first.
     pub routes: HashMap<String, Vec<Arc<Route>>>,
     /// The sections of these routes, for the check of the next set.
@@ -72,13 +72,16 @@
 
 impl Declarations {
     /// The service of a request, by its host without port, else by its path.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Service> {
-        let name = self.hosts.get(host).or_else(|| self.route_by_path(path))?;
+    pub fn find_service(&self, host: &str, path: &str) -> Option<&Service> {
+        let name = self
+            .hosts
+            .get(host)
+            .or_else(|| self.service_by_path(path))?;
         self.services.get(name)
     }
 
     /// The route with the longest path that begins `path`.
-    pub fn fixed_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.path))
     }
@@ -90,7 +93,7 @@
             .map_or(&[], |group| &group.upstreams)
     }
 
-    fn route_by_path(&self, path: &str) -> Option<&Name> {
+    fn service_by_path(&self, path: &str) -> Option<&Name> {
         self.prefixes
             .iter()
             .find(|(prefix, _)| matches_prefix(path, prefix))
--- a/components/evacuation/src/duty.rs
+++ b/components/evacuation/src/duty.rs
@@ -1,20 +1,20 @@
 //! The state machine of one node.
 
-use era::Place;
+use era::Position;
 use names::{Moment, Name, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// After the store came back from an older copy, operators write again what it lost. A hall that was evacuated before
 /// stays so for this time, in microseconds: otherwise its upstreams got work between the loss and the second writing.
-pub const REWRITTEN_US: u64 = 5 * SECOND;
+pub const RESTORE_GRACE_US: u64 = 5 * SECOND;
 
 /// The halls that are evacuated, as nodes tell one another.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Evacuated {
     /// Up to where in the store's history this is known.
     #[serde(rename = "w")]
-    pub as_of: Place,
+    pub as_of: Position,
     /// The halls.
     #[serde(rename = "h", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub halls: BTreeSet<Name>,
@@ -36,7 +36,7 @@
     }
 
     /// Up to where the store was read.
-    pub fn as_of(&self) -> Option<Place> {
+    pub fn as_of(&self) -> Option<Position> {
         self.known.as_ref().map(|known| known.as_of)
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Whether a hall gets no new work now.
-    pub fn covers(&self, now: Moment, hall: &Name) -> bool {
+    pub fn is_evacuated(&self, now: Moment, hall: &Name) -> bool {
         let is_known = |known: &Evacuated| known.halls.contains(hall);
         let is_kept = self.kept.get(hall).is_some_and(|until| *until > now);
         is_kept || self.known.as_ref().is_some_and(is_known)
@@ -56,13 +56,13 @@
 
     /// Takes in all that the store held at `as_of`, as read here or told by another node. Returns whether other halls get
     /// no new work by that; what is older than what is known changes nothing.
-    pub fn take(&mut self, now: Moment, told: Evacuated) -> bool {
+    pub fn apply(&mut self, now: Moment, told: Evacuated) -> bool {
         let before = self.halls(now);
         match &self.known {
-            Some(known) if !told.as_of.goes_before(&known.as_of) => return false,
+            Some(known) if !told.as_of.supersedes(&known.as_of) => return false,
             Some(known) if told.as_of.era != known.as_of.era => {
                 let lost = known.halls.difference(&told.halls).cloned();
-                let until = now + REWRITTEN_US;
+                let until = now + RESTORE_GRACE_US;
                 self.kept.extend(lost.map(|hall| (hall, until)));
             }
             _ => {}
@@ -76,10 +76,10 @@
 
     /// Takes in what has changed since the place up to which the store was read. Returns whether other halls get no new
     /// work by that.
-    pub fn change(
+    pub fn apply_changes(
         &mut self,
         now: Moment,
-        as_of: Place,
+        as_of: Position,
         evacuated: impl IntoIterator<Item = Name>,
         taken_back: &[Name],
     ) -> bool {
@@ -90,7 +90,7 @@
             .unwrap_or_default();
         halls.extend(evacuated);
         halls.retain(|hall| !taken_back.contains(hall));
-        self.take(now, Evacuated { as_of, halls })
+        self.apply(now, Evacuated { as_of, halls })
     }
 
     /// Whether the other node knows another set of halls, and an older one.
@@ -100,7 +100,7 @@
         };
         match theirs {
             None => !known.halls.is_empty(),
-            Some(theirs) => known.halls != theirs.halls && known.as_of.goes_before(&theirs.as_of),
+            Some(theirs) => known.halls != theirs.halls && known.as_of.supersedes(&theirs.as_of),
         }
     }
 }
--- a/components/home/src/lib.rs
+++ b/components/home/src/lib.rs
@@ -1,8 +1,8 @@
-//! Home duty: the only way to the upstream beside this node.
+//! Home duty: the only path to this node's local upstream.
 //!
-//! The home duty hands out the upstream's slots, keeps a short queue, and records what became of
-//! each attempt. All decisions are pure: time is passed in and every call returns the actions for
-//! the daemon to carry out. Invariants are asserted in release builds too.
+//! The home duty assigns the upstream's slots, keeps a short queue, and records the outcome of each
+//! attempt. It performs no I/O and reads no clock: time is passed in, and every call returns the
+//! actions that the daemon has to carry out. Invariants are asserted in release builds too.
 
 mod attempt;
 mod cold;
@@ -21,15 +21,15 @@
 mod stragglers;
 
 pub use attempt::{Attempt, Offered, Queued, Started};
-pub use cold::{Cold, ColdCapacity, Earlier, Room, COLD_WINDOW_US};
+pub use cold::{ColdAdmission, ColdCapacity, ColdLimiter, PriorStarts, COLD_WINDOW_US};
 pub use config::{AccountLoad, Action, Config, Counters, ProbeResult};
-pub use delay::Delay;
-pub use depth::Depth;
+pub use delay::DelayEstimator;
+pub use depth::DepthTracker;
 pub use duty::Home;
-pub use limit::{Class, Limit, Verdict};
-pub use message::{AskReply, Load, Offer, Reason, Refusal, Suspicion};
-pub use pace::Pace;
-pub use record::{Known, Record, Records};
+pub use limit::{Class, ConcurrencyLimit, Verdict};
+pub use message::{Load, Offer, QueryReply, Reason, Refusal, Suspicion};
+pub use pace::Slowdown;
+pub use record::{Record, RecordLookup, Records};
 pub use request_limit::RequestLimit;
 pub use run_times::RunTimes;
 pub use stragglers::Stragglers;
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -15,12 +15,12 @@
 use crate::site::{Site, Trouble};
 use crate::tally::Tally;
 use crate::upstream::Upstream;
-use entry::{Call, Entry, RetryRate, Rule};
+use entry::{Call, Entry, RetryBudgetConfig, SelectionRule};
 use home::{ColdCapacity, Config, Home};
 use names::{AttemptId, BootId, Moment, MILLISECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use returning::Returning;
+use returning::CallerRetries;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
@@ -97,7 +97,7 @@
     jobs: HashMap<AttemptId, Job>,
     upstream: Upstream,
     /// Callers that this node refused.
-    returning: Returning<Content>,
+    returning: CallerRetries<Content>,
 }
 
 /// Nodes, upstreams and callers on one clock.
@@ -252,7 +252,7 @@
                 event,
             } => {
                 let vm = crate::site::vm_name(from);
-                self.nodes[to].entry.reported(self.now, &vm, load);
+                self.nodes[to].entry.on_report(self.now, &vm, load);
                 self.step(req, event);
             }
         }
@@ -281,29 +281,29 @@
     let spec = &site.vms[vm];
     let cfg = Config {
         slots: site.services[spec.service].slots,
-        usable: site.usable,
+        usable_fraction: site.usable,
         adaptive: false,
-        looks: true,
+        can_probe: true,
         seed: rng.random(),
         ..Config::default()
     };
-    let mut entry = Entry::new(boot, Rule::Priced, rng.random());
+    let mut entry = Entry::new(boot, SelectionRule::Priced, rng.random());
     let vms = site.vms.len();
     let slack = RETRY_SLACK_A_VM * vms as f64;
-    entry.set_retry_rate(RetryRate::share(RETRY_RATIO, slack, vms));
+    entry.set_retry_config(RetryBudgetConfig::node_share(RETRY_RATIO, slack, vms));
     let mut home = Home::new(boot, cfg);
     if let Some(cold) = site.services[spec.service].cold {
-        let bears = |starts| ColdCapacity::Most {
-            starts,
+        let bears = |starts_per_s| ColdCapacity::Limited {
+            starts_per_s,
             cold_us: site.pace.cold_us,
         };
-        home.set_cold_capacity(cold.known.map_or(ColdCapacity::Any, bears));
+        home.set_cold_capacity(cold.known.map_or(ColdCapacity::Unlimited, bears));
     }
     Node {
         entry,
         home,
         jobs: HashMap::new(),
-        returning: Returning::default(),
+        returning: CallerRetries::default(),
         upstream: Upstream::new(spec.up_at, SmallRng::seed_from_u64(rng.random())),
     }
 }
--- a/components/model/src/world/entry_side.rs
+++ b/components/model/src/world/entry_side.rs
@@ -39,11 +39,11 @@
         let treatment = Treatment {
             repeatable: spec.repeatable,
             priority,
-            attempts: if level == 0 { spec.attempts } else { 1 },
-            arrivals: spec.attempts,
+            max_runs: if level == 0 { spec.attempts } else { 1 },
+            max_arrivals: spec.attempts,
             origin: match asker {
                 Asker::Caller(_) => Origin::Client,
-                Asker::Run { .. } => Origin::Run,
+                Asker::Run { .. } => Origin::Upstream,
             },
         };
         let price = Price::of(priority, spec.objective_us, level > 0);
@@ -93,7 +93,7 @@
             candidates.extend(drawn.map(|other| Candidate {
                 vm: vm_name(*other),
                 same_hall,
-                own: *other == vm,
+                local: *other == vm,
             }));
         }
         candidates
@@ -121,7 +121,7 @@
                     self.send(from, vm_of(&to), Message::Cancel(id));
                 }
                 // Nothing is lost on the way here.
-                Action::Ask { .. } => {}
+                Action::Query { .. } => {}
                 Action::Finish(outcome) => self.finished(req, &outcome),
             }
         }
--- a/components/registry/src/lib.rs
+++ b/components/registry/src/lib.rs
@@ -1,6 +1,6 @@
 //! Upstreams that register themselves: what the node beside one learns, and what all nodes know.
 //!
-//! An upstream tells the node beside it of every run of its own ([`Local`]). Each node keeps one
+//! An upstream tells the node beside it of every run of its own ([`LocalUpstream`]). Each node keeps one
 //! [`Record`] of itself and its upstream, which it alone writes and tells the others ([`Fleet`]).
 
 mod beside;
@@ -11,13 +11,15 @@
 mod record;
 mod spread;
 
-pub use beside::{Beside, Declared, Mismatch, Named, Origin};
+pub use beside::{ConfiguredUpstream, Declared, LocalService, Mismatch, Origin};
 pub use digest::{BucketSet, Digests, BUCKETS};
-pub use fleet::{Fleet, Merged};
+pub use fleet::{Fleet, MergeOutcome};
 pub use incarnation::Incarnation;
-pub use local::{Change, Farewell, Heartbeat, Local, Verdict, DOUBT_US};
+pub use local::{
+    Change, DepartureOutcome, Heartbeat, HeartbeatOutcome, LocalUpstream, CONFIRMATION_US,
+};
 pub use record::{Instance, Record, State, Version};
 pub use spread::{
-    can_wait, compare, contacts, far_contacts, is_passed_on, is_replaced, start_contacts,
-    told_of_change, versions, Comparison, Versions, CONTACTS,
+    announcement_targets, can_defer, compare, contacts, cross_hall_contacts, is_replaced,
+    should_forward, start_contacts, versions, Comparison, Versions, CONTACTS_PER_HALL,
 };
--- a/components/registry/tests/registry.rs
+++ b/components/registry/tests/registry.rs
@@ -2,8 +2,8 @@
 
 use names::{BootId, Moment, Name};
 use registry::{
-    Change, Farewell, Fleet, Heartbeat, Incarnation, Instance, Local, Merged, Record, State,
-    Verdict, Version, DOUBT_US,
+    Change, DepartureOutcome, Fleet, Heartbeat, HeartbeatOutcome, Incarnation, Instance,
+    LocalUpstream, MergeOutcome, Record, State, Version, CONFIRMATION_US,
 };
 
 fn instance(id: &str, state: State) -> Instance {
@@ -40,7 +40,7 @@
     }
 }
 
-fn state_of(local: &Local) -> Option<(Option<u64>, State)> {
+fn state_of(local: &LocalUpstream) -> Option<(Option<u64>, State)> {
     local.current().map(|run| (run.born_ms, run.state))
 }
 
@@ -61,7 +61,7 @@
         version: Version { generation, change },
         serving: true,
         upstream,
-        held: Vec::new(),
+        quarantined: Vec::new(),
     }
 }
 
@@ -72,155 +72,158 @@
 
 #[test]
 fn a_registration_that_comes_late_changes_nothing() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 1));
-    local.heartbeat(NOW, heartbeat("a", State::Draining, 5));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 1));
+    local.on_heartbeat(NOW, heartbeat("a", State::Draining, 5));
     assert_eq!(
-        local.heartbeat(NOW, heartbeat("a", State::Ready, 4)),
-        Verdict::Late
+        local.on_heartbeat(NOW, heartbeat("a", State::Ready, 4)),
+        HeartbeatOutcome::Late
     );
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
 }
 
 #[test]
 fn a_later_start_of_the_same_identity_takes_work_whatever_the_earlier_one_said() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(100, State::Draining, 90));
-    let verdict = local.heartbeat(NOW, born(200, State::Ready, 0));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(100, State::Draining, 90));
+    let verdict = local.on_heartbeat(NOW, born(200, State::Ready, 0));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(
-        local.heartbeat(NOW, born(100, State::Draining, 91)),
-        Verdict::Ended
+        local.on_heartbeat(NOW, born(100, State::Draining, 91)),
+        HeartbeatOutcome::Ended
     );
-    assert_eq!(local.leaves(&started(100)), Farewell::Known);
+    assert_eq!(local.on_departure(&started(100)), DepartureOutcome::Known);
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
     // Twice in a row.
-    local.heartbeat(NOW, born(300, State::Ready, 0));
+    local.on_heartbeat(NOW, born(300, State::Ready, 0));
     assert_eq!(
-        local.heartbeat(NOW, born(200, State::Draining, 5)),
-        Verdict::Ended
+        local.on_heartbeat(NOW, born(200, State::Draining, 5)),
+        HeartbeatOutcome::Ended
     );
     assert_eq!(state_of(&local), Some((Some(300), State::Ready)));
 }
 
 #[test]
 fn a_word_of_an_earlier_start_that_was_never_known_is_not_acknowledged_and_changes_nothing() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(200, State::Ready, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(200, State::Ready, 3));
     assert_eq!(
-        local.heartbeat(NOW, born(100, State::Draining, 50)),
-        Verdict::Doubted
+        local.on_heartbeat(NOW, born(100, State::Draining, 50)),
+        HeartbeatOutcome::Doubted
     );
-    assert_eq!(local.leaves(&started(100)), Farewell::Doubted);
+    assert_eq!(local.on_departure(&started(100)), DepartureOutcome::Doubted);
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
 }
 
 #[test]
 fn several_late_words_do_not_take_the_place_of_a_start_that_goes_on() {
-    let mut local = Local::default();
+    let mut local = LocalUpstream::default();
     let mut now = NOW;
     for step in 0..20 {
-        now = now + DOUBT_US / 2;
-        local.heartbeat(now, born(200, State::Ready, step));
-        let late = local.heartbeat(now + 1, born(100, State::Draining, 50 + step));
-        assert_eq!(late, Verdict::Doubted);
+        now = now + CONFIRMATION_US / 2;
+        local.on_heartbeat(now, born(200, State::Ready, step));
+        let late = local.on_heartbeat(now + 1, born(100, State::Draining, 50 + step));
+        assert_eq!(late, HeartbeatOutcome::Doubted);
     }
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
 }
 
 #[test]
 fn a_start_whose_clock_was_set_back_is_taken_once_it_goes_on_alone() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(200, State::Draining, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(200, State::Draining, 3));
     let mut sequence = 0;
     let mut now = NOW;
-    while now < NOW + DOUBT_US {
-        let verdict = local.heartbeat(now, born(100, State::Ready, sequence));
-        assert_eq!(verdict, Verdict::Doubted);
+    while now < NOW + CONFIRMATION_US {
+        let verdict = local.on_heartbeat(now, born(100, State::Ready, sequence));
+        assert_eq!(verdict, HeartbeatOutcome::Doubted);
         sequence += 1;
-        now = now + DOUBT_US / 3 + 1;
+        now = now + CONFIRMATION_US / 3 + 1;
     }
     // The same word again proves nothing.
-    let again = local.heartbeat(now, born(100, State::Ready, sequence - 1));
-    assert_eq!(again, Verdict::Doubted);
-    let verdict = local.heartbeat(now, born(100, State::Ready, sequence));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    let again = local.on_heartbeat(now, born(100, State::Ready, sequence - 1));
+    assert_eq!(again, HeartbeatOutcome::Doubted);
+    let verdict = local.on_heartbeat(now, born(100, State::Ready, sequence));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
 }
 
 #[test]
 fn a_start_that_was_wrongly_taken_for_a_gone_one_returns_with_its_next_word() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(200, State::Ready, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(200, State::Ready, 3));
     // Cut off, while words of the earlier start still arrive.
-    local.heartbeat(NOW, born(100, State::Ready, 50));
-    local.heartbeat(NOW + DOUBT_US, born(100, State::Ready, 51));
+    local.on_heartbeat(NOW, born(100, State::Ready, 50));
+    local.on_heartbeat(NOW + CONFIRMATION_US, born(100, State::Ready, 51));
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
-    let verdict = local.heartbeat(NOW + DOUBT_US + 1, born(200, State::Ready, 4));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    let verdict = local.on_heartbeat(NOW + CONFIRMATION_US + 1, born(200, State::Ready, 4));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
     // One that said that it ends does not.
-    assert_eq!(local.leaves(&started(200)), Farewell::Taken);
+    assert_eq!(local.on_departure(&started(200)), DepartureOutcome::Taken);
     assert_eq!(
-        local.heartbeat(NOW + DOUBT_US + 2, born(200, State::Ready, 5)),
-        Verdict::Taken(Change::None)
+        local.on_heartbeat(NOW + CONFIRMATION_US + 2, born(200, State::Ready, 5)),
+        HeartbeatOutcome::Taken(Change::None)
     );
     assert_eq!(state_of(&local), Some((Some(200), State::Gone)));
 }
 
 #[test]
 fn a_start_that_does_not_say_when_it_began_is_known_by_its_identity() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 3));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 3));
     assert_eq!(
-        local.heartbeat(NOW, born(100, State::Ready, 4)),
-        Verdict::Taken(Change::Updated)
+        local.on_heartbeat(NOW, born(100, State::Ready, 4)),
+        HeartbeatOutcome::Taken(Change::Updated)
     );
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
-    assert_eq!(local.leaves(&incarnation("a")), Farewell::Taken);
+    assert_eq!(
+        local.on_departure(&incarnation("a")),
+        DepartureOutcome::Taken
+    );
 }
 
 #[test]
 fn a_run_that_drains_never_takes_work_again() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Draining, 1));
-    let verdict = local.heartbeat(NOW, heartbeat("a", State::Ready, 2));
-    assert_eq!(verdict, Verdict::Taken(Change::None));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Draining, 1));
+    let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 2));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::None));
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
 }
 
 #[test]
 fn a_run_that_was_followed_by_another_never_comes_back() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 9));
-    local.heartbeat(NOW, heartbeat("b", State::Ready, 1));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
+    local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
     assert_eq!(
-        local.heartbeat(NOW, heartbeat("a", State::Ready, 10)),
-        Verdict::Ended
+        local.on_heartbeat(NOW, heartbeat("a", State::Ready, 10)),
+        HeartbeatOutcome::Ended
     );
     assert_eq!(local.current().map(|run| run.id.as_str()), Some("b"));
 }
 
 #[test]
 fn a_start_that_goes_on_comes_back_when_the_one_in_its_place_says_nothing_more() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 9));
-    local.heartbeat(NOW, heartbeat("b", State::Ready, 1));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
+    local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
     let mut now = NOW;
     for sequence in 10..12 {
-        let verdict = local.heartbeat(now, heartbeat("a", State::Ready, sequence));
-        assert_eq!(verdict, Verdict::Ended);
-        now = now + DOUBT_US / 2;
+        let verdict = local.on_heartbeat(now, heartbeat("a", State::Ready, sequence));
+        assert_eq!(verdict, HeartbeatOutcome::Ended);
+        now = now + CONFIRMATION_US / 2;
     }
     // The same word again proves nothing, and a word of the other one starts the time anew.
-    now = now + DOUBT_US;
-    let again = local.heartbeat(now, heartbeat("a", State::Ready, 11));
-    assert_eq!(again, Verdict::Ended);
-    local.heartbeat(now, heartbeat("b", State::Ready, 2));
-    let verdict = local.heartbeat(now, heartbeat("a", State::Ready, 12));
-    assert_eq!(verdict, Verdict::Ended);
-    let verdict = local.heartbeat(now + DOUBT_US, heartbeat("a", State::Ready, 13));
-    assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+    now = now + CONFIRMATION_US;
+    let again = local.on_heartbeat(now, heartbeat("a", State::Ready, 11));
+    assert_eq!(again, HeartbeatOutcome::Ended);
+    local.on_heartbeat(now, heartbeat("b", State::Ready, 2));
+    let verdict = local.on_heartbeat(now, heartbeat("a", State::Ready, 12));
+    assert_eq!(verdict, HeartbeatOutcome::Ended);
+    let verdict = local.on_heartbeat(now + CONFIRMATION_US, heartbeat("a", State::Ready, 13));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(local.current().map(|run| run.id.as_str()), Some("a"));
 }
 
@@ -230,44 +233,47 @@
         (State::Ready, State::Ready),
         (State::Draining, State::Draining),
     ] {
-        let mut local = Local::default();
-        local.heartbeat(NOW, heartbeat("a", state, 9));
-        local.heartbeat(NOW, heartbeat("b", State::Ready, 1));
-        assert!(local.is_not(&incarnation("b")));
-        let verdict = local.heartbeat(NOW, heartbeat("a", State::Ready, 10));
-        assert_eq!(verdict, Verdict::Taken(Change::Replaced));
+        let mut local = LocalUpstream::default();
+        local.on_heartbeat(NOW, heartbeat("a", state, 9));
+        local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
+        assert!(local.mark_absent(&incarnation("b")));
+        let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 10));
+        assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
         assert_eq!(local.current().map(|run| run.state), Some(then));
         // The other one was found not to stand there.
-        let verdict = local.heartbeat(NOW, heartbeat("b", State::Ready, 2));
-        assert_eq!(verdict, Verdict::Ended);
+        let verdict = local.on_heartbeat(NOW, heartbeat("b", State::Ready, 2));
+        assert_eq!(verdict, HeartbeatOutcome::Ended);
     }
 }
 
 #[test]
 fn a_late_registration_still_tells_that_its_start_drains() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 9));
-    let verdict = local.heartbeat(NOW, heartbeat("a", State::Draining, 5));
-    assert_eq!(verdict, Verdict::Taken(Change::Updated));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
+    let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Draining, 5));
+    assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Updated));
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
-    let verdict = local.heartbeat(NOW, heartbeat("a", State::Ready, 6));
-    assert_eq!(verdict, Verdict::Late);
+    let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 6));
+    assert_eq!(verdict, HeartbeatOutcome::Late);
 }
 
 #[test]
 fn a_run_that_left_stays_gone_whatever_it_says_later() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 1));
-    assert_eq!(local.leaves(&incarnation("a")), Farewell::Taken);
-    local.heartbeat(NOW, heartbeat("a", State::Ready, 2));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 1));
+    assert_eq!(
+        local.on_departure(&incarnation("a")),
+        DepartureOutcome::Taken
+    );
+    local.on_heartbeat(NOW, heartbeat("a", State::Ready, 2));
     assert_eq!(local.current().map(|run| run.state), Some(State::Gone));
 }
 
 #[test]
 fn what_other_nodes_remember_of_a_drain_holds_for_a_node_that_started_anew() {
-    let mut local = Local::default();
-    assert!(local.remembered(&instance("a", State::Draining)));
-    assert!(!local.found(instance("a", State::Ready)));
+    let mut local = LocalUpstream::default();
+    assert!(local.restore_state(&instance("a", State::Draining)));
+    assert!(!local.adopt(instance("a", State::Ready)));
     assert_eq!(local.current().map(|run| run.state), Some(State::Draining));
 }
 
@@ -275,12 +281,12 @@
 fn only_a_newer_record_is_taken_and_only_ready_upstreams_are_listed() {
     let mut fleet = Fleet::new(record("me", 1, 0, None));
     let ready = record("b", 2, 1, Some(instance("x", State::Ready)));
-    assert_eq!(fleet.merge(ready.clone()), Merged::Taken(None));
-    assert_eq!(fleet.merge(ready.clone()), Merged::Same);
-    assert_eq!(fleet.merge(record("b", 1, 9, None)), Merged::Older);
+    assert_eq!(fleet.merge(ready.clone()), MergeOutcome::Applied(None));
+    assert_eq!(fleet.merge(ready.clone()), MergeOutcome::Same);
+    assert_eq!(fleet.merge(record("b", 1, 9, None)), MergeOutcome::Older);
     assert_eq!(listed(&fleet), ["b"]);
     let drains = record("b", 2, 2, Some(instance("x", State::Draining)));
-    assert_eq!(fleet.merge(drains), Merged::Taken(Some(ready)));
+    assert_eq!(fleet.merge(drains), MergeOutcome::Applied(Some(ready)));
     assert!(listed(&fleet).is_empty());
 }
 
@@ -291,10 +297,13 @@
         boot: BootId(77),
         ..record("me", 4, 2, None)
     };
-    assert_eq!(fleet.merge(earlier.clone()), Merged::Own(earlier.version));
-    let own = fleet.rise_above(earlier.version);
+    assert_eq!(
+        fleet.merge(earlier.clone()),
+        MergeOutcome::OwnConflict(earlier.version)
+    );
+    let own = fleet.supersede(earlier.version);
     assert!(own.version > earlier.version);
-    assert_eq!(fleet.merge(earlier), Merged::Older);
+    assert_eq!(fleet.merge(earlier), MergeOutcome::Older);
 }
 
 #[test]
@@ -306,13 +315,16 @@
     // The later start was not told of the earlier one, and its record has come as far.
     let mut second = record("vm", 2, 2, Some(instance("a", State::Ready)));
     second.boot = BootId(12);
-    assert_eq!(fleet.merge(second.clone()), Merged::Older);
+    assert_eq!(fleet.merge(second.clone()), MergeOutcome::Older);
     assert_eq!(fleet.record(&first.vm), Some(&first));
     // Told of it, the later start goes above it.
     let mut own = Fleet::new(second);
-    assert_eq!(own.merge(first.clone()), Merged::Own(first.version));
-    let risen = own.rise_above(first.version);
-    assert!(matches!(fleet.merge(risen), Merged::Taken(_)));
+    assert_eq!(
+        own.merge(first.clone()),
+        MergeOutcome::OwnConflict(first.version)
+    );
+    let risen = own.supersede(first.version);
+    assert!(matches!(fleet.merge(risen), MergeOutcome::Applied(_)));
 }
 
 #[test]
@@ -335,7 +347,7 @@
     for (generation, change) in [(u64::MAX, 0), (far, 0), (2, far)] {
         for vm in ["me", "other"] {
             let offered = record(vm, generation, change, None);
-            assert_eq!(fleet.merge(offered), Merged::Unreachable);
+            assert_eq!(fleet.merge(offered), MergeOutcome::ImplausibleVersion);
         }
     }
     assert_eq!(fleet.len(), 1);
@@ -350,36 +362,39 @@
     };
     let mut other = Fleet::new(record("me", 1, 0, None));
     other.merge(known.clone());
-    assert_eq!(other.merge(changed.clone()), Merged::Differs);
+    assert_eq!(other.merge(changed.clone()), MergeOutcome::Conflict);
     assert_eq!(other.record(&known.vm), Some(&known));
     // Its own node says anew what holds, whatever start the other one claims to be of.
     let mut own = Fleet::new(known.clone());
-    assert_eq!(own.merge(known.clone()), Merged::Older);
-    assert_eq!(own.merge(changed), Merged::Own(known.version));
+    assert_eq!(own.merge(known.clone()), MergeOutcome::Older);
+    assert_eq!(own.merge(changed), MergeOutcome::OwnConflict(known.version));
     let later = record("vm", 2, 9, None);
-    assert_eq!(own.merge(later.clone()), Merged::Own(later.version));
-    assert!(own.rise_above(later.version).version > later.version);
+    assert_eq!(
+        own.merge(later.clone()),
+        MergeOutcome::OwnConflict(later.version)
+    );
+    assert!(own.supersede(later.version).version > later.version);
 }
 
 #[test]
 fn a_start_that_leaves_by_its_answers_is_drained_whatever_its_registrations_say() {
-    let mut local = Local::default();
-    local.heartbeat(NOW, born(5, State::Ready, 0));
-    assert!(!local.drains(&started(4)));
-    assert!(local.drains(&started(5)));
-    assert!(!local.drains(&started(5)));
+    let mut local = LocalUpstream::default();
+    local.on_heartbeat(NOW, born(5, State::Ready, 0));
+    assert!(!local.on_drain(&started(4)));
+    assert!(local.on_drain(&started(5)));
+    assert!(!local.on_drain(&started(5)));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
-    local.heartbeat(NOW, born(5, State::Ready, 1));
+    local.on_heartbeat(NOW, born(5, State::Ready, 1));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
-    local.heartbeat(NOW, born(6, State::Ready, 0));
+    local.on_heartbeat(NOW, born(6, State::Ready, 0));
     assert_eq!(state_of(&local), Some((Some(6), State::Ready)));
 }
 
 #[test]
 fn a_start_that_left_before_it_registered_here_is_drained_when_it_does() {
-    let mut local = Local::default();
-    assert!(!local.drains(&started(5)));
-    local.heartbeat(NOW, born(5, State::Ready, 0));
+    let mut local = LocalUpstream::default();
+    assert!(!local.on_drain(&started(5)));
+    local.on_heartbeat(NOW, born(5, State::Ready, 0));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
 }
 
@@ -392,11 +407,11 @@
     fleet.merge(record("vm-1", 1, 0, start("a")));
     fleet.merge(record("vm-2", 1, 0, start("b")));
     assert_eq!(ready(&fleet), 2);
-    let digest = fleet.digests().whole();
-    assert!(fleet.upstream_leaves(&Name::from("vm-1"), &incarnation("a")));
-    assert!(!fleet.upstream_leaves(&Name::from("vm-1"), &incarnation("a")));
+    let digest = fleet.digests().combined();
+    assert!(fleet.set_upstream_draining(&Name::from("vm-1"), &incarnation("a")));
+    assert!(!fleet.set_upstream_draining(&Name::from("vm-1"), &incarnation("a")));
     assert_eq!(ready(&fleet), 1);
-    assert_eq!(fleet.digests().whole(), digest);
+    assert_eq!(fleet.digests().combined(), digest);
     fleet.merge(record("vm-1", 2, 0, start("a")));
     assert_eq!(ready(&fleet), 1);
     fleet.merge(record("vm-1", 2, 1, start("c")));
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Answer, Request};
 use errors::{Error, Result, Step};
-use home::{AskReply, Load, Offer, Reason, Refusal};
+use home::{Load, Offer, QueryReply, Reason, Refusal};
 use keys::{ClaimReply, KeyHash};
 use membership::VmList;
 use names::{AttemptId, BootId};
@@ -11,7 +11,7 @@
 use rollout::{Configuration, Summary};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
-use watch::Word;
+use watch::WatchNotice;
 
 /// Bytes that a frame may have beyond the body it carries.
 pub const MAX_FRAME_OVERHEAD: usize = 64 * 1024;
@@ -102,7 +102,7 @@
         /// The attempt.
         id: AttemptId,
         /// What is known.
-        reply: AskReply<Arc<Answer>>,
+        reply: QueryReply<Arc<Answer>>,
     },
     /// Entry to home: nobody waits for this attempt.
     Cancel {
@@ -203,7 +203,7 @@
     Watch {
         /// What it says.
         #[serde(rename = "w")]
-        word: Word,
+        word: WatchNotice,
         /// What it knows.
         #[serde(rename = "k")]
         summary: Summary,
