--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -10,7 +10,7 @@
 
 use crate::home_driver;
 use crate::links;
-use crate::node::{Node, Whole};
+use crate::node::{Node, SharedAnswer};
 use crate::registration::{self, Registration};
 use async_std::task;
 use audit::stats;
@@ -182,7 +182,7 @@
 }
 
 /// What follows for the call whose attempt ran when its upstream ended.
-pub fn event(node: &Rc<Node>, id: AttemptId, suspect: Suspect) -> Event<Whole> {
+pub fn event(node: &Rc<Node>, id: AttemptId, suspect: Suspect) -> Event<SharedAnswer> {
     learn(node, &[suspect]);
     let service = {
         let waiters = node.waiters.borrow();
--- a/components/daemon/src/containment/ends.rs
+++ b/components/daemon/src/containment/ends.rs
@@ -48,7 +48,7 @@
     let is_same = |last: &LastEnd| last.start == start && at.since(last.at) < ONE_END_US;
     let (id, is_known) = match last.filter(is_same) {
         Some(last) => (last.id, true),
-        None => (node.next_question(), false),
+        None => (node.next_query_id(), false),
     };
     if !is_known {
         let end = LastEnd { id, start, at };
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -5,7 +5,7 @@
 use crate::entry_driver::{run_call, CallPlan, CallResult};
 use crate::links::{self, Reply};
 use crate::local;
-use crate::node::{Node, Whole};
+use crate::node::{Node, SharedAnswer};
 use crate::relay::Relay;
 use async_channel::Sender;
 use async_std::future::timeout;
@@ -106,13 +106,13 @@
 }
 
 /// Takes in another node's answer to a claim.
-pub fn claimed(node: &Rc<Node>, id: AttemptId, reply: ClaimReply<Whole>) {
+pub fn claimed(node: &Rc<Node>, id: AttemptId, reply: ClaimReply<SharedAnswer>) {
     if let Some((tx, _)) = node.claim_waiters.borrow().get(&id) {
         tx.try_send(reply).ok();
     }
 }
 
-fn grant(node: &Rc<Node>, key: KeyHash, vm: &Name, by: BootId) -> ClaimReply<Whole> {
+fn grant(node: &Rc<Node>, key: KeyHash, vm: &Name, by: BootId) -> ClaimReply<SharedAnswer> {
     let now = node.now();
     if node.was_paused() {
         boot_record::paused(node);
@@ -187,7 +187,7 @@
     }
 
     /// Asks every node that may have run the key; the key is ours when all grant it.
-    async fn claim_all(&self) -> ClaimReply<Whole> {
+    async fn claim_all(&self) -> ClaimReply<SharedAnswer> {
         let asked = self.standing.claim_targets().map(|vm| self.claim_one(vm));
         let reply = combine_replies(join_all(asked).await);
         if reply != ClaimReply::Granted {
@@ -196,13 +196,13 @@
         reply
     }
 
-    async fn claim_one(&self, vm: &Name) -> ClaimReply<Whole> {
+    async fn claim_one(&self, vm: &Name) -> ClaimReply<SharedAnswer> {
         let node = self.node;
         if *vm == node.cfg.vm {
             return grant(node, self.key, vm, node.boot);
         }
         let (tx, rx) = async_channel::bounded(1);
-        let id = node.next_question();
+        let id = node.next_query_id();
         node.claim_waiters.borrow_mut().insert(id, (tx, vm.clone()));
         links::send(node, vm, &Frame::Claim { id, key: self.key });
         let reply = timeout(CLAIM_TIMEOUT, rx.recv()).await;
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -5,7 +5,7 @@
 use crate::containment;
 use crate::home_driver;
 use crate::links::{self, Reply};
-use crate::node::{Node, Waiter, Whole};
+use crate::node::{Node, SharedAnswer, Waiter};
 use async_channel::{Receiver, Sender};
 use audit::stats::{self, Stage};
 use entry::{Action, Call, Candidate, Event, Origin, Outcome, Price, Treatment, RETURN_TIME_US};
@@ -34,15 +34,15 @@
     /// Whether its caller was refused before.
     is_retry: bool,
     price: Price,
-    call: Call<Whole>,
-    tx: Sender<Event<Whole>>,
+    call: Call<SharedAnswer>,
+    tx: Sender<Event<SharedAnswer>>,
     attempts: Vec<AttemptId>,
 }
 
 /// How a call ended.
 pub struct CallResult {
     /// The outcome; none when the caller hung up.
-    pub outcome: Option<Outcome<Whole>>,
+    pub outcome: Option<Outcome<SharedAnswer>>,
     /// Whether a home duty that knows the call's idempotency key refused an offer.
     pub has_certain_refusal: bool,
 }
@@ -122,10 +122,10 @@
 impl Running<'_> {
     async fn run(
         &mut self,
-        rx: &Receiver<Event<Whole>>,
+        rx: &Receiver<Event<SharedAnswer>>,
         deadline: Moment,
         mut hung_up: Pin<&mut impl Future<Output = ()>>,
-    ) -> Option<Outcome<Whole>> {
+    ) -> Option<Outcome<SharedAnswer>> {
         let mut event = Event::Begin;
         loop {
             if let Some(outcome) = self.step(event) {
@@ -144,7 +144,7 @@
     }
 
     /// At the deadline an offer that never left this node was truly not run.
-    fn expired(&mut self) -> Event<Whole> {
+    fn expired(&mut self) -> Event<SharedAnswer> {
         let Some(id) = self.attempts.last().copied() else {
             return Event::Expired;
         };
@@ -160,7 +160,7 @@
         Event::Expired
     }
 
-    fn step(&mut self, event: Event<Whole>) -> Option<Outcome<Whole>> {
+    fn step(&mut self, event: Event<SharedAnswer>) -> Option<Outcome<SharedAnswer>> {
         let now = self.node.now();
         let is_straggler = matches!(event, Event::Straggles(_));
         // An upstream may have ended under a copy since the call began.
@@ -284,7 +284,7 @@
 }
 
 /// Hands an event to the call that waits for the attempt; counts it as late when there is none.
-pub fn deliver(node: &Rc<Node>, id: AttemptId, event: Event<Whole>) {
+pub fn deliver(node: &Rc<Node>, id: AttemptId, event: Event<SharedAnswer>) {
     let refusal = match &event {
         Event::Refused(_, refusal) => Some(*refusal),
         _ => None,
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::containment;
 use crate::entry_driver::on_load_report;
 use crate::home_driver::leaving_changed;
-use crate::node::{Job, Node, Whole};
+use crate::node::{Job, Node, SharedAnswer};
 use crate::registration::{self, Registration};
 use crate::upstream_notices;
 use audit::stats;
@@ -180,7 +180,7 @@
 /// at 295 VMs was nine in ten of the messages between nodes.
 fn slowness(node: &Rc<Node>, percent: u32) {
     let now = node.now();
-    let told = |home: &mut Home<Whole>| home.slowdown_reported(now, percent);
+    let told = |home: &mut Home<SharedAnswer>| home.slowdown_reported(now, percent);
     let changed = node.home.borrow_mut().as_mut().is_some_and(told);
     if changed {
         pace_changed(node);
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -7,7 +7,7 @@
 use crate::links::Reply;
 use crate::local;
 use crate::look;
-use crate::node::{Job, Node, Whole};
+use crate::node::{Job, Node, SharedAnswer};
 use crate::registration;
 use crate::straggling;
 use crate::upstream_notices;
@@ -83,7 +83,7 @@
     upstream_notices::recalled(node, from, &offer);
     node.jobs.borrow_mut().entry(id).or_insert(job);
     with_home(node, |home| home.offer(now, &offer));
-    let waits = |home: &Home<Whole>| home.is_queued(id);
+    let waits = |home: &Home<SharedAnswer>| home.is_queued(id);
     if node.home.borrow().as_ref().is_some_and(waits) {
         audit_home(node, id, "queued", None);
     }
@@ -175,7 +175,7 @@
 
 /// Takes an attempt back that has not started, and cuts a running one off that may run more than once.
 pub fn withdraw(node: &Rc<Node>, id: AttemptId, refusal: Refusal) {
-    let is_queued = |home: &Home<Whole>| home.is_queued(id);
+    let is_queued = |home: &Home<SharedAnswer>| home.is_queued(id);
     if node.home.borrow().as_ref().is_some_and(is_queued) {
         let now = node.now();
         with_home(node, |home| {
@@ -359,7 +359,7 @@
 }
 
 /// Carries out what the home duty decides, if there is one.
-pub fn with_home(node: &Rc<Node>, decide: impl FnOnce(&mut Home<Whole>) -> Vec<Action>) {
+pub fn with_home(node: &Rc<Node>, decide: impl FnOnce(&mut Home<SharedAnswer>) -> Vec<Action>) {
     let actions = match node.home.borrow_mut().as_mut() {
         Some(home) => decide(home),
         None => Vec::new(),
@@ -379,7 +379,7 @@
         Action::Straggles(id) => straggling::tell(node, id),
         Action::Refuse(id, refusal) => {
             stats::attempt_refused(refusal.reason.as_str());
-            let is_displaced = |home: &Home<Whole>| home.is_displaced(id);
+            let is_displaced = |home: &Home<SharedAnswer>| home.is_displaced(id);
             let decision = match node.home.borrow().as_ref().is_some_and(is_displaced) {
                 true => "refused for another account",
                 false => "refused",
--- a/components/daemon/src/jobs.rs
+++ b/components/daemon/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Requests in progress: those that the home duty has taken in, and attempts that the entry duty waits for.
 
 use crate::links::Reply;
-use crate::node::{Node, Whole};
+use crate::node::{Node, SharedAnswer};
 use async_channel::Sender;
 use entry::Event;
 use keys::KeyHash;
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 pub struct Waiter {
     /// The call's events.
-    pub tx: Sender<Event<Whole>>,
+    pub tx: Sender<Event<SharedAnswer>>,
     /// The VM it was offered to.
     pub vm: Name,
     /// When it was offered.
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -154,6 +154,6 @@
     }
 }
 
-fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::Whole>) {
+fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::SharedAnswer>) {
     deliver(node, id, Event::QueryReplied(id, reply));
 }
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::coordinator;
 use crate::entry_driver;
-use crate::node::{Node, Questions};
+use crate::node::{Node, PendingQueries};
 use crate::recovery;
 use crate::relay::{self, Relayed};
 use async_channel::Sender;
@@ -408,7 +408,7 @@
     }
 }
 
-fn waiting_at<T>(waiting: &Questions<T>, vm: &Name) -> Vec<AttemptId> {
+fn waiting_at<T>(waiting: &PendingQueries<T>, vm: &Name) -> Vec<AttemptId> {
     waiting
         .iter()
         .filter(|(_, (_, at))| at == vm)
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -53,13 +53,13 @@
 const PAUSE_US: u64 = 1_000 * MILLISECOND;
 
 /// The type of a whole answer in all state machines.
-pub type Whole = Arc<Answer>;
+pub type SharedAnswer = Arc<Answer>;
 
 /// Questions to other nodes that wait for an answer: where it goes, and who was asked.
-pub type Questions<T> = HashMap<AttemptId, (Sender<T>, Name)>;
+pub type PendingQueries<T> = HashMap<AttemptId, (Sender<T>, Name)>;
 
 /// Keys that a node knows, and for how long there may be others, in microseconds.
-pub type Known = (Vec<KeyHash>, u64);
+pub type KnownKeys = (Vec<KeyHash>, u64);
 
 /// When a group ended, and its upstreams.
 pub type FormerGroup = (Moment, Vec<Name>);
@@ -83,7 +83,7 @@
     /// When this process started.
     pub started: Moment,
     /// Home duty, on a node that has an upstream.
-    pub home: RefCell<Option<Home<Whole>>>,
+    pub home: RefCell<Option<Home<SharedAnswer>>>,
     /// Requests the home duty has taken in.
     pub jobs: RefCell<HashMap<AttemptId, Job>>,
     /// Connections to the upstream.
@@ -95,19 +95,19 @@
     /// Attempts that have not ended.
     pub waiters: RefCell<HashMap<AttemptId, Waiter>>,
     /// Relays that have not ended, with the node they went to.
-    pub relays: RefCell<Questions<Relayed>>,
+    pub relays: RefCell<PendingQueries<Relayed>>,
     /// Claims that have not been answered.
-    pub claim_waiters: RefCell<Questions<ClaimReply<Whole>>>,
+    pub claim_waiters: RefCell<PendingQueries<ClaimReply<SharedAnswer>>>,
     /// Questions of a new boot that have not been answered.
-    pub recoveries: RefCell<Questions<Option<Known>>>,
+    pub recoveries: RefCell<PendingQueries<Option<KnownKeys>>>,
     /// Counter of relays and claims.
-    next_question: Cell<u64>,
+    next_query_seq: Cell<u64>,
     /// Connections to other nodes.
     pub links: RefCell<HashMap<Name, Link>>,
     /// Connections from other nodes.
     pub incoming: RefCell<HashMap<u64, Reply>>,
     /// Idempotency keys this node coordinates.
-    pub keys: RefCell<KeyTable<Whole>>,
+    pub keys: RefCell<KeyTable<SharedAnswer>>,
     /// Idempotency keys granted or run at the upstream beside this node.
     pub claims: RefCell<Claims>,
     /// Relays that wait for the same key.
@@ -203,7 +203,7 @@
             relays: RefCell::default(),
             claim_waiters: RefCell::default(),
             recoveries: RefCell::default(),
-            next_question: Cell::new(0),
+            next_query_seq: Cell::new(0),
             links: RefCell::default(),
             incoming: RefCell::default(),
             keys: RefCell::new(KeyTable::new(MAX_KEYS, MAX_KEY_ANSWERS)),
@@ -415,9 +415,9 @@
     }
 
     /// A fresh identity for a relay or a claim.
-    pub fn next_question(&self) -> AttemptId {
-        let seq = self.next_question.get();
-        self.next_question.set(seq + 1);
+    pub fn next_query_id(&self) -> AttemptId {
+        let seq = self.next_query_seq.get();
+        self.next_query_seq.set(seq + 1);
         AttemptId {
             boot: self.boot,
             seq,
--- a/components/daemon/src/recovery.rs
+++ b/components/daemon/src/recovery.rs
@@ -8,7 +8,7 @@
 
 use crate::boot_record::{certain, used_keys};
 use crate::links::{self, Reply};
-use crate::node::{Known, Node};
+use crate::node::{KnownKeys, Node};
 use async_std::future::timeout;
 use async_std::task;
 use futures_util::future::join_all;
@@ -69,14 +69,14 @@
 }
 
 /// Takes in an answer.
-pub fn answered(node: &Rc<Node>, id: AttemptId, known: Option<Known>) {
+pub fn answered(node: &Rc<Node>, id: AttemptId, known: Option<KnownKeys>) {
     if let Some((tx, _)) = node.recoveries.borrow().get(&id) {
         tx.try_send(known).ok();
     }
 }
 
 /// One round of questions: all keys and the longest uncertainty, if every node answered.
-async fn round(node: &Rc<Node>) -> Option<Known> {
+async fn round(node: &Rc<Node>) -> Option<KnownKeys> {
     let members = members(node)?;
     let answers = join_all(members.iter().map(|vm| ask(node, vm))).await;
     let mut all = Vec::new();
@@ -89,9 +89,9 @@
     Some((all, longest))
 }
 
-async fn ask(node: &Rc<Node>, vm: &Name) -> Option<Known> {
+async fn ask(node: &Rc<Node>, vm: &Name) -> Option<KnownKeys> {
     let (tx, rx) = async_channel::bounded(1);
-    let id = node.next_question();
+    let id = node.next_query_id();
     node.recoveries.borrow_mut().insert(id, (tx, vm.clone()));
     links::send(node, vm, &Frame::Recover { id });
     let answer = timeout(ANSWER_TIMEOUT, rx.recv()).await;
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -119,7 +119,7 @@
 
 async fn ask(node: &Rc<Node>, coordinator: &Name, relay: Relay, deadline: Moment) -> Relayed {
     let (tx, rx) = async_channel::bounded(1);
-    let id = node.next_question();
+    let id = node.next_query_id();
     node.relays
         .borrow_mut()
         .insert(id, (tx, coordinator.clone()));
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -1,6 +1,6 @@
 //! What the upstream beside this node says of itself in the headers of its answers.
 
-use crate::node::{Node, Whole};
+use crate::node::{Node, SharedAnswer};
 use crate::registration::{self, Registration};
 use audit::stats;
 use home::{Home, Offer, PriorStarts};
@@ -74,7 +74,7 @@
     node: &Node,
     id: &str,
     source: &str,
-    take_in: impl FnOnce(&mut Home<Whole>, Moment) -> bool,
+    take_in: impl FnOnce(&mut Home<SharedAnswer>, Moment) -> bool,
 ) {
     let mut home = node.home.borrow_mut();
     let Some(home) = home.as_mut() else {
