--- a/components/daemon/src/callers/connection.rs
+++ b/components/daemon/src/callers/connection.rs
@@ -32,19 +32,21 @@
             task::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        if node.open_callers.get() >= node.cfg.max_callers {
+        if node.caller_connections.get() >= node.cfg.max_callers {
             stats::bad_input("too many callers");
             local::spawn(turn_away(stream));
             continue;
         }
-        node.open_callers.set(node.open_callers.get() + 1);
+        node.caller_connections
+            .set(node.caller_connections.get() + 1);
         let (node, pipelines) = (node.clone(), pipelines.clone());
         local::spawn(async move {
             let connection = AssertUnwindSafe(connection(&node, pipelines, stream));
             if connection.catch_unwind().await.is_err() {
                 stats::panicked();
             }
-            node.open_callers.set(node.open_callers.get() - 1);
+            node.caller_connections
+                .set(node.caller_connections.get() - 1);
         });
     }
 }
--- a/components/daemon/src/callers/returned.rs
+++ b/components/daemon/src/callers/returned.rs
@@ -36,7 +36,10 @@
     let host = call.headers.iter().find(|(name, _)| is_host(name));
     let host = host.map_or("", |(_, value)| value.as_str());
     let request = Fingerprint::of(&call.method, host, &call.target, &call.body);
-    let first = node.returning.borrow().first_try(now, &request, deadline);
+    let first = node
+        .caller_retries
+        .borrow()
+        .first_try(now, &request, deadline);
     if first.is_some() {
         stats::caller_returned();
     }
@@ -54,7 +57,7 @@
         return;
     };
     if matches!(outcome, RelayOutcome::NotRun(_)) {
-        let mut returning = node.returning.borrow_mut();
+        let mut returning = node.caller_retries.borrow_mut();
         returning.record_refusal(node.now(), this.request, this.first_at, this.deadline);
     }
 }
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -163,7 +163,7 @@
             return None;
         }
         if first_read.needs_reservation(now) && place.is_none() {
-            place = Some(node.blank_waiters.reserve(call.bytes())?);
+            place = Some(node.startup_waiters.reserve(call.bytes())?);
         }
         let limit_us = first_read.next_check(now, until).since(now);
         let limit = Duration::from_micros(limit_us);
@@ -188,7 +188,7 @@
         Ok(admitted) => admitted,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
-    let service = node.share_of(route);
+    let service = node.select_service(route);
     let is_inner = call.parent.is_some();
     let priority = priority(ruled, &call, admitted.account.as_deref());
     let treatment = Treatment {
@@ -362,7 +362,7 @@
         .deadline_ms
         .unwrap_or(ruled.deadline_ms)
         .min(ruled.deadline_ms);
-    let left_us = (limit_ms * MILLISECOND).saturating_sub(node.paused_for());
+    let left_us = (limit_ms * MILLISECOND).saturating_sub(node.paused_for_us());
     (left_us > 0).then(|| node.now() + left_us)
 }
 
@@ -468,7 +468,7 @@
     let deadline = deadline.min(node.now() + MAX_KEY_DEADLINE_US);
     let relay = Relay {
         remaining_us: deadline.since(node.now()),
-        waited_us: node.paused_for(),
+        waited_us: node.paused_for_us(),
         key,
         priority,
         revision: in_force.configuration.head.revision,
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -402,7 +402,7 @@
             let fleet = registration.fleet.borrow();
             registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm))
         }
-        None => node.others().into_iter().map(|(vm, _)| vm).collect(),
+        None => node.other_nodes().into_iter().map(|(vm, _)| vm).collect(),
     };
     for vm in told {
         links::send(node, &vm, frame);
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -83,7 +83,7 @@
         return;
     };
     let now = node.now();
-    let mut moved = node.moved.borrow_mut();
+    let mut former_groups = node.former_groups.borrow_mut();
     for service in before.declarations.services.values() {
         let old = before.declarations.upstreams(service);
         let new = after
@@ -92,7 +92,7 @@
             .get(&service.name)
             .map_or(&[][..], |service| after.declarations.upstreams(service));
         if old != new {
-            let groups = moved.entry(service.name.clone()).or_default();
+            let groups = former_groups.entry(service.name.clone()).or_default();
             groups.retain(|(at, _)| now.since(*at) <= KEY_RETENTION_US);
             groups.push((now, old.to_vec()));
         }
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -73,7 +73,7 @@
     broke: Break,
 ) -> Verdict {
     let has_ended = pool.starts() == broke.start && pool.has_ended().await;
-    if !has_ended || node.is_leaving() {
+    if !has_ended || node.is_draining() {
         return Verdict::Broken;
     }
     if is_cold(node) {
@@ -212,8 +212,8 @@
         return (Verdict::Good, Some(answer));
     };
     let drains = take_header(&mut answer, service.drain_header.as_deref());
-    if drains != node.upstream_leaving.get() {
-        node.upstream_leaving.set(drains);
+    if drains != node.drained_by_upstream.get() {
+        node.drained_by_upstream.set(drains);
         leaving_changed(node);
     }
     if take_header(&mut answer, service.shed_header.as_deref()) {
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -194,7 +194,7 @@
             if let Some(pool) = &node.pool {
                 pool.replaced(address, run.slots as usize);
             }
-            if let Some(pool) = &node.look_pool {
+            if let Some(pool) = &node.probe_pool {
                 pool.replaced(address, 1);
             }
         }
@@ -264,7 +264,7 @@
 
 /// Brings the home duty in line with what the sources say of leaving, and tells connected peers.
 pub fn leaving_changed(node: &Rc<Node>) {
-    let leaving = node.is_leaving();
+    let leaving = node.is_draining();
     let now = node.now();
     let before = node.load().leaving;
     if node.home.borrow().is_none() || before == leaving {
@@ -295,7 +295,7 @@
     let mut gone = false;
     loop {
         task::sleep(SUCCESSOR_LOOK).await;
-        if !node.upstream_leaving.get() {
+        if !node.drained_by_upstream.get() {
             gone = false;
             continue;
         }
@@ -305,7 +305,7 @@
         }
         let reached = pool.can_connect().await;
         if reached && gone {
-            node.upstream_leaving.set(false);
+            node.drained_by_upstream.set(false);
             leaving_changed(&node);
         }
         gone |= !reached;
--- a/components/daemon/src/links/accept.rs
+++ b/components/daemon/src/links/accept.rs
@@ -31,7 +31,7 @@
             task::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        if node.strangers.get() >= MAX_STRANGERS {
+        if node.unauthenticated_peers.get() >= MAX_STRANGERS {
             stats::bad_input("peer");
             continue;
         }
@@ -49,11 +49,13 @@
 }
 
 async fn serve_peer(node: &Rc<Node>, stream: TcpStream, peer: &str, serial: u64) {
-    node.strangers.set(node.strangers.get() + 1);
+    node.unauthenticated_peers
+        .set(node.unauthenticated_peers.get() + 1);
     let admitted = timeout(PROOF_TIMEOUT, admit(node, stream, peer))
         .await
         .unwrap_or_else(|_| Err(Error::new(Step::Handshake, peer, "no proof in time")));
-    node.strangers.set(node.strangers.get() - 1);
+    node.unauthenticated_peers
+        .set(node.unauthenticated_peers.get() - 1);
     let (socket, vm) = match admitted {
         Ok(admitted) => admitted,
         Err(error) => {
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -157,7 +157,7 @@
 
 /// Sends a frame that needs no answer to the other nodes of this hall.
 pub fn tell_hall_surely(node: &Rc<Node>, frame: &Frame) {
-    let others = node.others().into_iter();
+    let others = node.other_nodes().into_iter();
     for (vm, _) in others.filter(|(_, same_hall)| *same_hall) {
         send(node, &vm, frame);
     }
@@ -166,7 +166,7 @@
 /// Sends a frame to the other nodes of this hall to which a connection is open.
 pub fn tell_hall(node: &Rc<Node>, frame: &Frame) {
     let near: Vec<Name> = node
-        .others()
+        .other_nodes()
         .into_iter()
         .filter(|(_, same_hall)| *same_hall)
         .map(|(vm, _)| vm)
@@ -197,7 +197,7 @@
 
     fn nodes(&self) -> Vec<Name> {
         let Some(registration) = &self.0.registration else {
-            let others = self.0.others().into_iter().map(|(vm, _)| vm);
+            let others = self.0.other_nodes().into_iter().map(|(vm, _)| vm);
             return others.chain([self.own_vm()]).collect();
         };
         let fleet = registration.fleet.borrow();
@@ -213,7 +213,7 @@
     }
 
     fn connected_in_hall(&self) -> Vec<Name> {
-        let near = self.0.others().into_iter();
+        let near = self.0.other_nodes().into_iter();
         let near = near.filter(|(vm, same_hall)| *same_hall && is_up(&self.0, vm));
         near.map(|(vm, _)| vm).collect()
     }
@@ -230,7 +230,7 @@
 /// Number of other nodes of this hall that are known, and to how many of them a connection is open.
 pub fn near(node: &Node) -> (usize, usize) {
     let near = node
-        .others()
+        .other_nodes()
         .into_iter()
         .filter(|(_, same_hall)| *same_hall);
     let near: Vec<Name> = near.map(|(vm, _)| vm).collect();
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -37,7 +37,7 @@
     let Some(registration) = node.registration.clone() else {
         return ProbeResult::NoAnswer;
     };
-    let Some(pool) = node.look_pool.clone() else {
+    let Some(pool) = node.probe_pool.clone() else {
         return ProbeResult::NoAnswer;
     };
     let Some(req) = request(node, &registration) else {
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -89,7 +89,7 @@
     /// Connections to the upstream.
     pub pool: Option<Rc<Pool>>,
     /// The connection over which the upstream is asked about itself.
-    pub look_pool: Option<Rc<Pool>>,
+    pub probe_pool: Option<Rc<Pool>>,
     /// Entry duty.
     pub entry: RefCell<Entry>,
     /// Attempts that have not ended.
@@ -119,7 +119,7 @@
     /// Whom it asks for what it lacks.
     pub fetch: RefCell<Fetch>,
     /// Groups that services had within the key window, with the time of their end.
-    pub moved: RefCell<HashMap<Name, Vec<FormerGroup>>>,
+    pub former_groups: RefCell<HashMap<Name, Vec<FormerGroup>>>,
     /// Fleet as this node sees it.
     pub view: RefCell<View>,
     /// Whether this node asks the platform for news.
@@ -127,7 +127,7 @@
     /// The first read of the declarations, before which other work waits.
     pub first_read: RefCell<FirstRead>,
     /// Callers that wait for the first declarations.
-    pub blank_waiters: WaitingCallers,
+    pub startup_waiters: WaitingCallers,
     /// Wakes them when declarations come into force or their first read ends.
     pub first_declarations: Wakeup,
     /// Wakes callers that wait for an upstream when other nodes have become known.
@@ -141,7 +141,7 @@
     /// Shares and tokens of limited client accounts.
     pub quotas: Quotas,
     /// Requests that this node has refused and whose callers may come back.
-    pub returning: RefCell<CallerRetries<Fingerprint>>,
+    pub caller_retries: RefCell<CallerRetries<Fingerprint>>,
     /// Whether functions whose mode is `auto` are on.
     pub activation: Activation,
     /// Turns of the services among which routes are split.
@@ -153,11 +153,11 @@
     /// Whether a planned stop has come so far that callers are refused.
     pub closing: Cell<bool>,
     /// Whether a planned stop has come so far that the upstream gets no new work.
-    pub upstream_left: Cell<bool>,
+    pub drained_by_stop: Cell<bool>,
     /// Whether an operator drains the upstream.
-    pub drained: Cell<bool>,
+    pub drained_by_operator: Cell<bool>,
     /// Whether the upstream said that it is leaving.
-    pub upstream_leaving: Cell<bool>,
+    pub drained_by_upstream: Cell<bool>,
     /// When the node's regular work last ran; long ago means that the process was paused.
     pub last_tick: Cell<Moment>,
     /// Until when this boot may not know keys that its predecessor used.
@@ -167,9 +167,9 @@
     /// Requests of callers and relays in progress.
     pub open_calls: Cell<usize>,
     /// Connections of callers.
-    pub open_callers: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     /// Connections of peers that have not proved themselves.
-    pub strangers: Cell<usize>,
+    pub unauthenticated_peers: Cell<usize>,
 }
 
 impl Node {
@@ -190,14 +190,14 @@
             Home::new(boot, limits)
         });
         let pool = cfg.upstream.map(|address| Rc::new(pool(&cfg, address)));
-        let look_pool = cfg
+        let probe_pool = cfg
             .upstream
-            .map(|address| Rc::new(look_pool(&cfg, address)));
+            .map(|address| Rc::new(probe_pool(&cfg, address)));
         Rc::new(Node {
             home: RefCell::new(home),
             jobs: RefCell::default(),
             pool,
-            look_pool,
+            probe_pool,
             entry: RefCell::new(Entry::new(boot, rule(&cfg.rule), boot.0)),
             waiters: RefCell::default(),
             relays: RefCell::default(),
@@ -212,32 +212,32 @@
             gate: RefCell::new(Gate::new(clock.now())),
             rollout: RefCell::default(),
             fetch: RefCell::default(),
-            moved: RefCell::default(),
+            former_groups: RefCell::default(),
             view: RefCell::default(),
             watch: RefCell::new(watch(&cfg, clock.now(), boot)),
             first_read: RefCell::new(FirstRead::new(clock.now())),
-            blank_waiters: WaitingCallers::default(),
+            startup_waiters: WaitingCallers::default(),
             first_declarations: Wakeup::default(),
             fleet_change: Wakeup::default(),
             platform: Rc::new(Client::new(cfg.platform.clone())),
             registration,
             containment: Containment::new(clock.now()),
             quotas: Quotas::new(bounds(&cfg), clock.now()),
-            returning: RefCell::default(),
+            caller_retries: RefCell::default(),
             activation: Activation::default(),
             splits: RefCell::default(),
             platform_state: RefCell::default(),
             stopping: Cell::new(false),
             closing: Cell::new(false),
-            upstream_left: Cell::new(false),
-            drained: Cell::new(false),
-            upstream_leaving: Cell::new(false),
+            drained_by_stop: Cell::new(false),
+            drained_by_operator: Cell::new(false),
+            drained_by_upstream: Cell::new(false),
             last_tick: Cell::new(clock.now()),
             unclean_until: Cell::new(Moment(0)),
             checking_pause: Cell::new(false),
             open_calls: Cell::new(0),
-            open_callers: Cell::new(0),
-            strangers: Cell::new(0),
+            caller_connections: Cell::new(0),
+            unauthenticated_peers: Cell::new(0),
             live: Rc::new(RefCell::new(Live::of(&cfg))),
             caller_name: CallerName::default(),
             started: clock.now(),
@@ -259,7 +259,7 @@
 
     /// How long a request that is read now may have waited because the process was paused, in
     /// microseconds.
-    pub fn paused_for(&self) -> u64 {
+    pub fn paused_for_us(&self) -> u64 {
         if self.was_paused() {
             self.now().since(self.last_tick.get())
         } else {
@@ -298,7 +298,7 @@
     }
 
     /// The other nodes, with whether each is in this node's hall.
-    pub fn others(&self) -> Vec<(Name, bool)> {
+    pub fn other_nodes(&self) -> Vec<(Name, bool)> {
         if let Some(registration) = &self.registration {
             let fleet = registration.fleet.borrow();
             let others = fleet.others();
@@ -346,10 +346,10 @@
     }
 
     /// Whether any source says that the upstream beside this node is leaving.
-    pub fn is_leaving(&self) -> bool {
-        self.upstream_left.get()
-            || self.drained.get()
-            || self.upstream_leaving.get()
+    pub fn is_draining(&self) -> bool {
+        self.drained_by_stop.get()
+            || self.drained_by_operator.get()
+            || self.drained_by_upstream.get()
             || match &self.registration {
                 Some(registration) => {
                     !registration.is_ready()
@@ -374,7 +374,7 @@
     }
 
     /// The service whose turn it is on a route.
-    pub fn share_of(&self, route: &Route) -> Name {
+    pub fn select_service(&self, route: &Route) -> Name {
         let mut splits = self.splits.borrow_mut();
         let split = splits.entry(route.name.clone()).or_default();
         let weights = route.shares.iter().map(|share| share.weight);
@@ -428,8 +428,8 @@
     pub fn members_within_window(&self, service: &Name, current: &[Name]) -> Vec<Name> {
         let now = self.now();
         let mut members = current.to_vec();
-        let moved = self.moved.borrow();
-        for (at, before) in moved.get(service).into_iter().flatten() {
+        let former_groups = self.former_groups.borrow();
+        for (at, before) in former_groups.get(service).into_iter().flatten() {
             if now.since(*at) > KEY_RETENTION_US {
                 continue;
             }
@@ -471,7 +471,7 @@
 }
 
 /// One connection is enough: one look serves all starts that wait.
-fn look_pool(cfg: &Settings, address: SocketAddr) -> Pool {
+fn probe_pool(cfg: &Settings, address: SocketAddr) -> Pool {
     Pool::new(address, 1, cfg.max_body_bytes, cfg.end_by_close)
 }
 
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -215,9 +215,9 @@
                 tx.try_send(state(&node)).ok();
             }
             Command::Drain(drained, tx) => {
-                node.drained.set(drained);
+                node.drained_by_operator.set(drained);
                 if !drained {
-                    node.upstream_leaving.set(false);
+                    node.drained_by_upstream.set(false);
                 }
                 home_driver::leaving_changed(&node);
                 tx.try_send(()).ok();
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -194,7 +194,7 @@
 /// Tells the store and the other nodes what this node's record says, if it has changed.
 pub fn publish(node: &Rc<Node>, registration: &Registration) {
     let upstream = registration.local.borrow().current().cloned();
-    let serving = !node.upstream_left.get() && !node.drained.get();
+    let serving = !node.drained_by_stop.get() && !node.drained_by_operator.get();
     let own = registration.fleet.borrow().own().clone();
     if own.upstream == upstream && own.serving == serving {
         return;
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -92,7 +92,7 @@
     if let Some(vm) = answered.choose(&mut rand::rng()) {
         return Some((*vm).clone());
     }
-    let others = node.others();
+    let others = node.other_nodes();
     let others: Vec<&Name> = others.iter().map(|(vm, _)| vm).filter(connected).collect();
     others.choose(&mut rand::rng()).map(|vm| (*vm).clone())
 }
--- a/components/daemon/src/stop.rs
+++ b/components/daemon/src/stop.rs
@@ -46,7 +46,7 @@
     let began = node.now();
     node.stopping.set(true);
     task::sleep(linger).await;
-    node.upstream_left.set(true);
+    node.drained_by_stop.set(true);
     home_driver::leaving_changed(node);
     if let Some(registration) = &node.registration {
         registration::publish(node, registration);
