--- a/components/daemon/src/activation.rs
+++ b/components/daemon/src/activation.rs
@@ -16,7 +16,7 @@
 
 impl Activation {
     /// Takes in a request that was sent behind an unanswered one.
-    pub fn pipelined(&self, now: Moment) {
+    pub fn record_pipelined(&self, now: Moment) {
         self.pipelined.set(Some(now));
     }
 
--- a/components/daemon/src/callers/reading.rs
+++ b/components/daemon/src/callers/reading.rs
@@ -235,7 +235,7 @@
     /// A request that was read behind an unanswered one shows that callers of this node pipeline.
     fn note_pipelining(&self) {
         if !self.pipeline.is_empty() {
-            self.node.activation.pipelined(self.node.now());
+            self.node.activation.record_pipelined(self.node.now());
         }
     }
 
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -90,10 +90,10 @@
                 node.first_declarations.wake();
                 let age_us = node.watch.borrow().age_us(node.now());
                 audit::in_force(before.as_deref(), &after, age_us);
-                coordinator::groups_changed(node, before.as_deref(), &after);
+                coordinator::record_former_groups(node, before.as_deref(), &after);
             }
             node.refresh_budget();
-            home_driver::cold_capacity_changed(node);
+            home_driver::update_cold_capacity(node);
             tell_some(node);
         }
         Offered::Same | Offered::UnderWay => {}
@@ -111,7 +111,7 @@
     node.fetch.borrow_mut().on_applied();
     tracing::info!(version, "a list of VMs was taken in");
     node.refresh_budget();
-    home_driver::leaving_changed(node);
+    home_driver::update_drain_state(node);
     tell_some(node);
 }
 
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -34,7 +34,7 @@
 const MOST_ARRIVALS: u32 = 2;
 
 /// Carries one request through.
-pub async fn carry_through(node: &Rc<Node>, relay: Relay) -> RelayOutcome {
+pub async fn coordinate(node: &Rc<Node>, relay: Relay) -> RelayOutcome {
     let received = node.now();
     let deadline = received + relay.remaining_us;
     let Some(in_force) = revision(node, relay.revision).await else {
@@ -78,7 +78,7 @@
 }
 
 /// Notes which services' groups differ between two revisions: their keys may have moved.
-pub fn groups_changed(node: &Rc<Node>, before: Option<&InForce>, after: &InForce) {
+pub fn record_former_groups(node: &Rc<Node>, before: Option<&InForce>, after: &InForce) {
     let Some(before) = before else {
         return;
     };
@@ -100,13 +100,13 @@
 }
 
 /// Another coordinator asks this node for a key.
-pub fn claim(node: &Rc<Node>, from: &Name, id: AttemptId, key: KeyHash, reply: &Reply) {
+pub fn on_claim(node: &Rc<Node>, from: &Name, id: AttemptId, key: KeyHash, reply: &Reply) {
     let granted = grant(node, key, from, id.boot);
     reply.send(node, Frame::Claimed { id, reply: granted });
 }
 
 /// Takes in another node's answer to a claim.
-pub fn claimed(node: &Rc<Node>, id: AttemptId, reply: ClaimReply<SharedAnswer>) {
+pub fn on_claim_reply(node: &Rc<Node>, id: AttemptId, reply: ClaimReply<SharedAnswer>) {
     if let Some((tx, _)) = node.claim_waiters.borrow().get(&id) {
         tx.try_send(reply).ok();
     }
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -237,7 +237,7 @@
         };
         node.waiters.borrow_mut().insert(id, waiter);
         if local {
-            home_driver::offer(node, &to, offer, self.key, self.req.clone(), Reply::Own);
+            home_driver::on_offer(node, &to, offer, self.key, self.req.clone(), Reply::Own);
         } else {
             links::offer(node, &to, offer, self.key, self.req.clone());
         }
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::containment;
 use crate::entry_driver::on_load_report;
-use crate::home_driver::leaving_changed;
+use crate::home_driver::update_drain_state;
 use crate::node::{Job, Node, SharedAnswer};
 use crate::registration::{self, Registration};
 use crate::upstream_notices;
@@ -145,11 +145,11 @@
         }
         return (Verdict::Shed, None);
     }
-    let notice = upstream_notices::take_in(node, &job.req.id, &answer);
+    let notice = upstream_notices::on_answer(node, &job.req.id, &answer);
     if let Some(expected) = expected.filter(|_| notice.leaving) {
-        upstream_notices::leaves(node, id, registration, expected);
+        upstream_notices::on_departure(node, id, registration, expected);
     }
-    if let Some(percent) = reported_percent(node, &answer) {
+    if let Some(percent) = reported_slow_percent(node, &answer) {
         slowness(node, percent);
     }
     let not_run = names.not_run.as_deref();
@@ -165,7 +165,7 @@
 }
 
 /// How long work takes at the upstream by what its answer says, in hundredths of the usual.
-pub fn reported_percent(node: &Node, answer: &Answer) -> Option<u32> {
+pub fn reported_slow_percent(node: &Node, answer: &Answer) -> Option<u32> {
     let name = node.cfg.headers.load.as_deref()?;
     slow_percent(http1::value(&answer.headers, name)?)
 }
@@ -183,12 +183,12 @@
     let told = |home: &mut Home<SharedAnswer>| home.slowdown_reported(now, percent);
     let changed = node.home.borrow_mut().as_mut().is_some_and(told);
     if changed {
-        pace_changed(node);
+        slowdown_changed(node);
     }
 }
 
 /// Takes in for this node's own choices that the pace of the upstream beside it has changed.
-pub fn pace_changed(node: &Rc<Node>) {
+pub fn slowdown_changed(node: &Rc<Node>) {
     on_load_report(node, &node.cfg.vm, node.load());
 }
 
@@ -203,7 +203,7 @@
     if let Some(registration) = &node.registration {
         return judge_registered(node, id, job, registration, expected, answer);
     }
-    upstream_notices::take_in(node, &job.req.id, &answer);
+    upstream_notices::on_answer(node, &job.req.id, &answer);
     let in_force = node.in_force();
     let service = in_force
         .as_ref()
@@ -214,7 +214,7 @@
     let drains = take_header(&mut answer, service.drain_header.as_deref());
     if drains != node.drained_by_upstream.get() {
         node.drained_by_upstream.set(drains);
-        leaving_changed(node);
+        update_drain_state(node);
     }
     if take_header(&mut answer, service.shed_header.as_deref()) {
         return (Verdict::Shed, None);
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -39,7 +39,7 @@
 const IDLE_TICK: Duration = Duration::from_millis(20);
 
 /// Takes in an offer of the node at `from` and does what the home duty decides.
-pub fn offer(
+pub fn on_offer(
     node: &Rc<Node>,
     from: &Name,
     offer: Offer,
@@ -80,7 +80,7 @@
         cancel: None,
     };
     let id = offer.id;
-    upstream_notices::recalled(node, from, &offer);
+    upstream_notices::restore_limit(node, from, &offer);
     node.jobs.borrow_mut().entry(id).or_insert(job);
     with_home(node, |home| home.offer(now, &offer));
     let waits = |home: &Home<SharedAnswer>| home.is_queued(id);
@@ -134,7 +134,7 @@
 }
 
 /// Answers a question about an attempt that was offered to `boot`.
-pub fn ask(node: &Rc<Node>, id: AttemptId, boot: BootId, route: Reply) {
+pub fn on_query(node: &Rc<Node>, id: AttemptId, boot: BootId, route: Reply) {
     let now = node.now();
     let reply = node
         .home
@@ -204,11 +204,11 @@
     }
     let now = node.now();
     with_home(node, |home| home.upstream_replaced(now, run.slots, earlier));
-    cold_capacity_changed(node);
+    update_cold_capacity(node);
 }
 
 /// Brings in line with the declarations in force how many starts the upstream beside this node bears while it is cold.
-pub fn cold_capacity_changed(node: &Node) {
+pub fn update_cold_capacity(node: &Node) {
     if let Some(home) = node.home.borrow_mut().as_mut() {
         home.set_cold_capacity(cold_capacity(node));
     }
@@ -263,7 +263,7 @@
 }
 
 /// Brings the home duty in line with what the sources say of leaving, and tells connected peers.
-pub fn leaving_changed(node: &Rc<Node>) {
+pub fn update_drain_state(node: &Rc<Node>) {
     let leaving = node.is_draining();
     let now = node.now();
     let before = node.load().leaving;
@@ -306,7 +306,7 @@
         let reached = pool.can_connect().await;
         if reached && gone {
             node.drained_by_upstream.set(false);
-            leaving_changed(&node);
+            update_drain_state(&node);
         }
         gone |= !reached;
     }
@@ -343,7 +343,7 @@
 }
 
 /// Takes in what a look at the upstream's pace brought.
-pub fn probed(node: &Rc<Node>, probed: ProbeResult) {
+pub fn probe_finished(node: &Rc<Node>, probed: ProbeResult) {
     let now = node.now();
     let before = node.load().slow_percent;
     noting_cold(node, "look", || {
@@ -354,7 +354,7 @@
         _ => None,
     };
     if told.is_some_and(|percent| percent != before) {
-        exchange::pace_changed(node);
+        exchange::slowdown_changed(node);
     }
 }
 
@@ -376,7 +376,7 @@
             start(node, id);
         }
         Action::Probe => look::start(node),
-        Action::Straggles(id) => straggling::tell(node, id),
+        Action::Straggles(id) => straggling::report(node, id),
         Action::Refuse(id, refusal) => {
             stats::attempt_refused(refusal.reason.as_str());
             let is_displaced = |home: &Home<SharedAnswer>| home.is_displaced(id);
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -121,7 +121,7 @@
             door,
         ));
     }
-    home_driver::leaving_changed(node);
+    home_driver::update_drain_state(node);
     node.fleet_changed();
     local::spawn(registration::run_records(
         node.clone(),
@@ -136,7 +136,7 @@
     let node = node.clone();
     Rc::new(move || match node.in_force() {
         _ if node.stopping.get() => Readiness::Stopping,
-        None => Readiness::Blank,
+        None => Readiness::NoDeclarations,
         Some(_) => Readiness::Ready,
     })
 }
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -20,9 +20,9 @@
     match frame {
         Frame::Offer {
             offer, key, req, ..
-        } => home_driver::offer(node, from, offer, key, req, reply.clone()),
-        Frame::Claim { id, key } => coordinator::claim(node, from, id, key, reply),
-        Frame::Claimed { id, reply } => coordinator::claimed(node, id, reply),
+        } => home_driver::on_offer(node, from, offer, key, req, reply.clone()),
+        Frame::Claim { id, key } => coordinator::on_claim(node, from, id, key, reply),
+        Frame::Claimed { id, reply } => coordinator::on_claim_reply(node, id, reply),
         Frame::Recover { id } => recovery::asked(node, from, id, reply),
         Frame::Recovered {
             id,
@@ -30,7 +30,7 @@
             uncertain_us,
         } => recovery::answered(node, id, keys.map(|keys| (keys, uncertain_us))),
         Frame::Release { by, key } => node.claims.borrow_mut().release(key, by),
-        Frame::Ask { id, boot } => home_driver::ask(node, id, boot, reply.clone()),
+        Frame::Ask { id, boot } => home_driver::on_query(node, id, boot, reply.clone()),
         Frame::Cancel { id } => home_driver::cancel(node, id),
         Frame::Heartbeat => reply.send(node, Frame::Alive { load: node.load() }),
         Frame::Refused { id, refusal, load } => {
@@ -49,7 +49,7 @@
         } => {
             on_load_report(node, from, load);
             if let Some(incarnation) = leaving {
-                upstream_notices::leaving_told(node, from, &incarnation);
+                upstream_notices::on_remote_departure(node, from, &incarnation);
             }
             let error = answer.is_error();
             deliver(node, id, Event::Answered { id, answer, error });
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -374,7 +374,7 @@
         Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::NodeGone(*id)),
         Frame::Relay { id, .. } => relay::relayed(node, *id, Relayed::NotSent),
         Frame::Recover { id } => recovery::answered(node, *id, None),
-        Frame::Claim { id, .. } => coordinator::claimed(node, *id, ClaimReply::Uncertain),
+        Frame::Claim { id, .. } => coordinator::on_claim_reply(node, *id, ClaimReply::Uncertain),
         _ => {}
     }
 }
@@ -401,7 +401,7 @@
         relay::relayed(node, id, Relayed::Lost);
     }
     for id in waiting_at(&node.claim_waiters.borrow(), vm) {
-        coordinator::claimed(node, id, ClaimReply::Uncertain);
+        coordinator::on_claim_reply(node, id, ClaimReply::Uncertain);
     }
     for id in waiting_at(&node.recoveries.borrow(), vm) {
         recovery::answered(node, id, None);
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -29,7 +29,7 @@
     let node = node.clone();
     local::spawn(async move {
         let probed = ask(&node).await;
-        home_driver::probed(&node, probed);
+        home_driver::probe_finished(&node, probed);
     });
 }
 
@@ -94,7 +94,7 @@
     if instance.is_some() && instance != expected {
         return failed("another upstream answers");
     }
-    let percent = exchange::reported_percent(node, answer);
+    let percent = exchange::reported_slow_percent(node, answer);
     let cold_us = reported_cold_us(node, answer);
     if percent.is_none() && cold_us.is_none() {
         return failed("the answer names neither load nor cold");
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -219,7 +219,7 @@
                 if !drained {
                     node.drained_by_upstream.set(false);
                 }
-                home_driver::leaving_changed(&node);
+                home_driver::update_drain_state(&node);
                 tx.try_send(()).ok();
             }
             Command::Release(released, tx) => {
--- a/components/daemon/src/ready.rs
+++ b/components/daemon/src/ready.rs
@@ -24,7 +24,7 @@
     /// A planned stop has begun.
     Stopping,
     /// It knows no declarations yet.
-    Blank,
+    NoDeclarations,
 }
 
 /// Answers at `path` for as long as the node runs.
@@ -59,7 +59,7 @@
     let (status, phrase, text) = match readiness() {
         _ if asked != path => (404, "Not Found", "no such path\n"),
         Readiness::Stopping => (503, "Service Unavailable", "stopping\n"),
-        Readiness::Blank => (503, "Service Unavailable", "no configuration yet\n"),
+        Readiness::NoDeclarations => (503, "Service Unavailable", "no configuration yet\n"),
         Readiness::Ready => (200, "OK", "ready\n"),
     };
     let bytes = http1::response_bytes(status, phrase, &[], text.as_bytes(), None);
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -187,7 +187,7 @@
         };
         home_driver::upstream_replaced(node, current, earlier);
     }
-    home_driver::leaving_changed(node);
+    home_driver::update_drain_state(node);
     publish(node, registration);
 }
 
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -57,7 +57,7 @@
     for coordinator in ranking(in_force, &relay) {
         relay.remaining_us = deadline.since(node.now());
         let relayed = if coordinator == node.cfg.vm {
-            Relayed::Outcome(coordinator::carry_through(node, relay.clone()).await)
+            Relayed::Outcome(coordinator::coordinate(node, relay.clone()).await)
         } else {
             ask(node, &coordinator, relay.clone(), deadline).await
         };
@@ -89,7 +89,7 @@
     let node = node.clone();
     node.open_calls.set(node.open_calls.get() + 1);
     local::spawn(async move {
-        let outcome = coordinator::carry_through(&node, relay).await;
+        let outcome = coordinator::coordinate(&node, relay).await;
         reply.send(&node, Frame::Relayed { id, outcome });
         node.open_calls.set(node.open_calls.get() - 1);
     });
--- a/components/daemon/src/stop.rs
+++ b/components/daemon/src/stop.rs
@@ -47,7 +47,7 @@
     node.stopping.set(true);
     task::sleep(linger).await;
     node.drained_by_stop.set(true);
-    home_driver::leaving_changed(node);
+    home_driver::update_drain_state(node);
     if let Some(registration) = &node.registration {
         registration::publish(node, registration);
     }
--- a/components/daemon/src/straggling.rs
+++ b/components/daemon/src/straggling.rs
@@ -31,7 +31,7 @@
 }
 
 /// Tells the entry duty of an attempt that its run straggles.
-pub fn tell(node: &Rc<Node>, id: AttemptId) {
+pub fn report(node: &Rc<Node>, id: AttemptId) {
     let waiting = {
         let jobs = node.jobs.borrow();
         jobs.get(&id)
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -12,7 +12,7 @@
 use wire::Answer;
 
 /// Takes in what an answer to the request `id` says of the upstream's limit. Gives all that it says.
-pub fn take_in(node: &Node, id: &str, answer: &Answer) -> Notice {
+pub fn on_answer(node: &Node, id: &str, answer: &Answer) -> Notice {
     let (notice, problems) = notices::read(&answer.headers, &header_names(&node.cfg.headers));
     for problem in &problems {
         audit::bad_notice(id, problem);
@@ -25,7 +25,7 @@
 
 /// Takes in that the start of the upstream that answered the attempt `id` leaves, and notes it for the entry node, which
 /// has to remember it also when this node is gone.
-pub fn leaves(
+pub fn on_departure(
     node: &Rc<Node>,
     id: AttemptId,
     registration: &Registration,
@@ -42,7 +42,7 @@
 }
 
 /// Takes in that an answer that came through the node on `vm` said that its upstream leaves.
-pub fn leaving_told(node: &Node, vm: &Name, incarnation: &Incarnation) {
+pub fn on_remote_departure(node: &Node, vm: &Name, incarnation: &Incarnation) {
     let Some(registration) = &node.registration else {
         return;
     };
@@ -54,7 +54,7 @@
 }
 
 /// Takes in what the node `from` knows of the upstream's limit, which an earlier run of this node has told it.
-pub fn recalled(node: &Node, from: &Name, offer: &Offer) {
+pub fn restore_limit(node: &Node, from: &Name, offer: &Offer) {
     if offer.known_limit.is_some() {
         let id = offer.id.to_string();
         limit_told(node, &id, from.as_str(), |home, now| {
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -106,7 +106,7 @@
         audit::halls_evacuated(&halls, evacuations.as_of(), from);
         stats::set("drumwheel_halls_evacuated", halls.len() as f64);
     }
-    home_driver::leaving_changed(node);
+    home_driver::update_drain_state(node);
     let frame = Frame::Summary(node.summary());
     match from {
         None => {
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -322,7 +322,7 @@
         task::sleep(Duration::from_micros(period_us)).await;
         freshness::note(&node);
         // A hall that a return of the store has lost stays evacuated for a while only.
-        home_driver::leaving_changed(&node);
+        home_driver::update_drain_state(&node);
         if node.watch.borrow().is_watching() && !node.stopping.get() {
             tell(&node, WatchNotice::Watching);
         }
