--- a/components/daemon/src/links/socket.rs
+++ b/components/daemon/src/links/socket.rs
@@ -100,5 +100,6 @@
 
 /// Without delay for small frames; a VM that fell silent is noticed.
 fn prepare(stream: &TcpStream, peer: &str) -> Result<()> {
-    http1::notice_silence(stream).map_err(|error| Error::new(Step::Connect, peer, error))
+    http1::enable_dead_peer_detection(stream)
+        .map_err(|error| Error::new(Step::Connect, peer, error))
 }
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -7,7 +7,7 @@
 use async_std::task;
 use errors::{Error, Result, Step};
 use home::PriorStarts;
-use http1::Patience;
+use http1::ResponseTimeouts;
 use registry::{Instance, State};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -89,8 +89,8 @@
         .address
         .parse()
         .map_err(|_| fail("not an address".to_string()))?;
-    let patience = Patience::even(limit);
-    let call = http1::call(address, "GET", path, &[], &[], MAX_ANSWER_BYTES, patience);
+    let timeouts = ResponseTimeouts::uniform(limit);
+    let call = http1::call(address, "GET", path, &[], &[], MAX_ANSWER_BYTES, timeouts);
     let (head, _) = timeout(limit, call)
         .await
         .map_err(|_| fail("no answer in time".to_string()))?
--- a/components/http1/src/call.rs
+++ b/components/http1/src/call.rs
@@ -3,7 +3,7 @@
 use crate::connection::{Connection, Fault};
 use crate::framing::{response_framing, EndByClose};
 use crate::head::ResponseHead;
-use crate::patience::{Patience, Patient};
+use crate::patience::{ResponseTimeouts, TimedStream};
 use async_std::future::timeout;
 use async_std::io::WriteExt;
 use async_std::net::TcpStream;
@@ -24,7 +24,7 @@
 const MAX_HEAD_BYTES: usize = 16_000;
 
 /// Makes a connection notice within a few seconds that its other end is silent.
-pub fn notice_silence(stream: &TcpStream) -> io::Result<()> {
+pub fn enable_dead_peer_detection(stream: &TcpStream) -> io::Result<()> {
     // SAFETY: the descriptor stays open as long as `stream`, which outlives the borrow.
     let fd = unsafe { BorrowedFd::borrow_raw(stream.as_raw_fd()) };
     let socket = SockRef::from(&fd);
@@ -37,7 +37,7 @@
     socket.set_tcp_nodelay(true)
 }
 
-/// Sends one request to `address` and reads its answer of at most `most` bytes. `patience` bounds the time to
+/// Sends one request to `address` and reads its answer of at most `most` bytes. `timeouts` bounds the time to
 /// connect and send, and each silence; callers bound the whole.
 pub async fn call(
     address: SocketAddr,
@@ -46,42 +46,42 @@
     headers: &[(&str, &str)],
     body: &[u8],
     most: u64,
-    patience: Patience,
+    timeouts: ResponseTimeouts,
 ) -> Result<(ResponseHead, Vec<u8>), Fault> {
-    call_noting(
+    call_with_callback(
         address,
         method,
         target,
         headers,
         body,
         most,
-        patience,
+        timeouts,
         || {},
     )
     .await
 }
 
-/// The same; `begins` is called when the first piece of the answer comes.
+/// The same; `on_first_byte` is called when the first piece of the answer comes.
 #[allow(clippy::too_many_arguments)]
-pub async fn call_noting(
+pub async fn call_with_callback(
     address: SocketAddr,
     method: &str,
     target: &str,
     headers: &[(&str, &str)],
     body: &[u8],
     most: u64,
-    patience: Patience,
-    begins: impl FnOnce() + Unpin,
+    timeouts: ResponseTimeouts,
+    on_first_byte: impl FnOnce() + Unpin,
 ) -> Result<(ResponseHead, Vec<u8>), Fault> {
     let host = address.to_string();
     let fixed = [("Host", host.as_str()), ("Connection", "close")];
     let headers = fixed.iter().chain(headers).copied();
     let bytes = crate::request_bytes(method, target, headers, body, method != "GET");
-    let stream = timeout(patience.first, send(address, &bytes))
+    let stream = timeout(timeouts.first_byte, send(address, &bytes))
         .await
         .map_err(|_| Fault::Io(io::Error::new(io::ErrorKind::TimedOut, "not sent in time")))?
         .map_err(Fault::Io)?;
-    let mut connection = Connection::new(Patient::new(stream, patience, begins));
+    let mut connection = Connection::new(TimedStream::new(stream, timeouts, on_first_byte));
     let head = connection.response_head(MAX_HEAD_BYTES).await?;
     let framing = response_framing(method, &head, EndByClose::Fault)?;
     let body = connection.body(framing, most).await?;
@@ -90,7 +90,7 @@
 
 async fn send(address: SocketAddr, bytes: &[u8]) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address).await?;
-    notice_silence(&stream)?;
+    enable_dead_peer_detection(&stream)?;
     stream.write_all(bytes).await?;
     Ok(stream)
 }
--- a/components/http1/src/lib.rs
+++ b/components/http1/src/lib.rs
@@ -11,9 +11,9 @@
 mod patience;
 mod write;
 
-pub use call::{call, call_noting, notice_silence};
+pub use call::{call, call_with_callback, enable_dead_peer_detection};
 pub use connection::{Connection, Fault};
 pub use framing::{request_framing, response_framing, EndByClose, Framing};
 pub use head::{is_hop_header, single, value, Header, RequestHead, ResponseHead};
-pub use patience::Patience;
+pub use patience::ResponseTimeouts;
 pub use write::{request_bytes, response_bytes};
--- a/components/http1/src/patience.rs
+++ b/components/http1/src/patience.rs
@@ -11,47 +11,51 @@
 /// Limits on silence, not on the whole: an answer that keeps coming is read to its end, however slow the
 /// link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct ResponseTimeouts {
     /// From the first byte sent to the first byte of the answer, at most.
-    pub first: Duration,
+    pub first_byte: Duration,
     /// Between two pieces of the answer, at most.
-    pub between: Duration,
+    pub idle: Duration,
 }
 
-impl Patience {
+impl ResponseTimeouts {
     /// The same limit for the first piece and between pieces.
-    pub fn even(limit: Duration) -> Patience {
-        Patience {
-            first: limit,
-            between: limit,
+    pub fn uniform(limit: Duration) -> ResponseTimeouts {
+        ResponseTimeouts {
+            first_byte: limit,
+            idle: limit,
         }
     }
 }
 
 /// A stream whose reads fail once nothing has come for too long.
-pub(crate) struct Patient<S, F> {
+pub(crate) struct TimedStream<S, F> {
     stream: S,
     /// Called when the first piece comes.
-    begins: Option<F>,
+    on_first_byte: Option<F>,
     timer: Timer,
-    between: Duration,
+    idle: Duration,
     /// Whether something came since the timer was set.
-    heard: bool,
+    has_read: bool,
 }
 
-impl<S, F> Patient<S, F> {
-    pub(crate) fn new(stream: S, patience: Patience, begins: F) -> Patient<S, F> {
-        Patient {
+impl<S, F> TimedStream<S, F> {
+    pub(crate) fn new(
+        stream: S,
+        timeouts: ResponseTimeouts,
+        on_first_byte: F,
+    ) -> TimedStream<S, F> {
+        TimedStream {
             stream,
-            begins: Some(begins),
-            timer: Timer::after(patience.first),
-            between: patience.between,
-            heard: false,
+            on_first_byte: Some(on_first_byte),
+            timer: Timer::after(timeouts.first_byte),
+            idle: timeouts.idle,
+            has_read: false,
         }
     }
 }
 
-impl<S: Read + Unpin, F: FnOnce() + Unpin> Read for Patient<S, F> {
+impl<S: Read + Unpin, F: FnOnce() + Unpin> Read for TimedStream<S, F> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -59,14 +63,14 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         if let Poll::Ready(read) = Pin::new(&mut this.stream).poll_read(cx, buf) {
-            this.heard = true;
-            if let Some(begins) = this.begins.take() {
-                begins();
+            this.has_read = true;
+            if let Some(on_first_byte) = this.on_first_byte.take() {
+                on_first_byte();
             }
             return Poll::Ready(read);
         }
-        if std::mem::take(&mut this.heard) {
-            this.timer.set_after(this.between);
+        if std::mem::take(&mut this.has_read) {
+            this.timer.set_after(this.idle);
         }
         ready!(Pin::new(&mut this.timer).poll(cx));
         let cause = "nothing came for too long";
--- a/components/http1/tests/patience.rs
+++ b/components/http1/tests/patience.rs
@@ -3,7 +3,7 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpListener;
 use async_std::task::{self, block_on};
-use http1::Patience;
+use http1::ResponseTimeouts;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -35,8 +35,8 @@
 }
 
 async fn call(address: SocketAddr) -> Result<Vec<u8>, String> {
-    let patience = Patience::even(LIMIT);
-    let called = http1::call(address, "GET", "/", &[], b"", 1_000, patience).await;
+    let timeouts = ResponseTimeouts::uniform(LIMIT);
+    let called = http1::call(address, "GET", "/", &[], b"", 1_000, timeouts).await;
     called
         .map(|(_, body)| body)
         .map_err(|fault| fault.to_string())
