--- a/components/http1/src/call.rs
+++ b/components/http1/src/call.rs
@@ -1,7 +1,7 @@
 //! One request over a connection of its own, with its whole answer.
 
 use crate::connection::{Connection, Fault};
-use crate::framing::{response_framing, EndByClose};
+use crate::framing::{response_framing, CloseDelimited};
 use crate::head::ResponseHead;
 use crate::patience::{ResponseTimeouts, TimedStream};
 use async_std::future::timeout;
@@ -83,7 +83,7 @@
         .map_err(Fault::Io)?;
     let mut connection = Connection::new(TimedStream::new(stream, timeouts, on_first_byte));
     let head = connection.response_head(MAX_HEAD_BYTES).await?;
-    let framing = response_framing(method, &head, EndByClose::Fault)?;
+    let framing = response_framing(method, &head, CloseDelimited::Reject)?;
     let body = connection.body(framing, most).await?;
     Ok((head, body))
 }
--- a/components/http1/src/framing.rs
+++ b/components/http1/src/framing.rs
@@ -18,11 +18,11 @@
 
 /// What an answer without a length and without chunks is taken for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndByClose {
+pub enum CloseDelimited {
     /// Whole, when the connection is closed in order and not reset.
-    Whole,
+    Accept,
     /// A fault: some senders close in order in the middle of an answer.
-    Fault,
+    Reject,
 }
 
 /// The framing of a request's body.
@@ -43,7 +43,7 @@
 pub fn response_framing(
     method: &str,
     head: &ResponseHead,
-    end_by_close: EndByClose,
+    close_delimited: CloseDelimited,
 ) -> Result<Framing, Fault> {
     let length = content_length(&head.headers)?;
     let encoding = single(&head.headers, "transfer-encoding")?;
@@ -57,7 +57,7 @@
         (Some(encoding), None) if encoding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
         (Some(encoding), None) => Err(Fault::Encoding(encoding.to_string())),
         (None, Some(length)) => Ok(Framing::Length(length)),
-        (None, None) if end_by_close == EndByClose::Whole => Ok(Framing::UntilClose),
+        (None, None) if close_delimited == CloseDelimited::Accept => Ok(Framing::UntilClose),
         (None, None) => Err(Fault::Malformed("neither a length nor chunks".to_string())),
     }
 }
--- a/components/http1/tests/http1.rs
+++ b/components/http1/tests/http1.rs
@@ -2,7 +2,7 @@
 
 use async_std::io::Cursor;
 use async_std::task::block_on;
-use http1::{request_framing, response_framing, Connection, EndByClose, Fault, Framing};
+use http1::{request_framing, response_framing, CloseDelimited, Connection, Fault, Framing};
 
 const MOST: u64 = 64;
 
@@ -27,7 +27,7 @@
     block_on(async {
         let mut connection = connection(text);
         let head = connection.response_head(1_000).await.expect("a head");
-        let framing = response_framing("GET", &head, EndByClose::Fault).expect("a framing");
+        let framing = response_framing("GET", &head, CloseDelimited::Reject).expect("a framing");
         let body = connection.body(framing, MOST).await.expect("a body");
         let mut headers = head.headers.clone();
         headers.retain(|(name, _)| !http1::is_hop_header(name));
@@ -48,7 +48,7 @@
     block_on(async {
         let mut connection = connection("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\noktail");
         let head = connection.response_head(1_000).await.expect("a head");
-        let framing = response_framing("GET", &head, EndByClose::Fault).expect("a framing");
+        let framing = response_framing("GET", &head, CloseDelimited::Reject).expect("a framing");
         assert_eq!(connection.body(framing, MOST).await.expect("a body"), b"ok");
         assert!(connection.has_bytes());
     });
@@ -70,8 +70,8 @@
     block_on(async {
         let mut connection = connection(text);
         let head = connection.response_head(1_000).await.expect("a head");
-        assert!(response_framing("GET", &head, EndByClose::Fault).is_err());
-        let framing = response_framing("GET", &head, EndByClose::Whole).expect("a framing");
+        assert!(response_framing("GET", &head, CloseDelimited::Reject).is_err());
+        let framing = response_framing("GET", &head, CloseDelimited::Accept).expect("a framing");
         assert_eq!(
             connection.body(framing, MOST).await.expect("a body"),
             b"abc"
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -7,7 +7,7 @@
 use clock::Clock;
 use errors::{Error, Result, Step};
 use futures_util::future::{select, Either};
-use http1::{response_framing, Connection, EndByClose, Fault, Framing, ResponseHead};
+use http1::{response_framing, CloseDelimited, Connection, Fault, Framing, ResponseHead};
 use names::Moment;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -94,7 +94,7 @@
     address: Cell<SocketAddr>,
     max_body_bytes: usize,
     warm: Cell<usize>,
-    end_by_close: EndByClose,
+    close_delimited: CloseDelimited,
     idle: RefCell<Vec<Idle>>,
     /// Starts of the upstream so far: what is open to an earlier one is never used for a later one.
     starts: Cell<u64>,
@@ -106,19 +106,19 @@
         address: SocketAddr,
         warm: usize,
         max_body_bytes: usize,
-        end_by_close: bool,
+        allow_close_delimited: bool,
     ) -> Pool {
-        let end_by_close = if end_by_close {
-            EndByClose::Whole
+        let close_delimited = if allow_close_delimited {
+            CloseDelimited::Accept
         } else {
-            EndByClose::Fault
+            CloseDelimited::Reject
         };
         Pool {
             clock: Clock::start(),
             address: Cell::new(address),
             max_body_bytes,
             warm: Cell::new(warm),
-            end_by_close,
+            close_delimited,
             idle: RefCell::new(Vec::new()),
             starts: Cell::new(0),
         }
@@ -226,7 +226,7 @@
     ) -> std::result::Result<(Answer, Option<Duration>), Fault> {
         for _ in 0..=MAX_SURPLUS {
             let head = connection.response_head(MAX_HEAD_BYTES).await?;
-            let framing = response_framing(&req.method, &head, self.end_by_close)?;
+            let framing = response_framing(&req.method, &head, self.close_delimited)?;
             let body = connection.body(framing, self.max_body_bytes as u64).await?;
             if is_foreign(&head, terms) {
                 tracing::info!(status = head.status, "skipped a surplus answer");
