--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -13,7 +13,7 @@
 use registry::Incarnation;
 use std::rc::Rc;
 use std::time::Duration;
-use upstream::{Failure, Pool, Terms};
+use upstream::{ExchangeOptions, Failure, Pool};
 use wire::Answer;
 
 /// Names the attempt to an upstream whose platform lists the VMs.
@@ -29,9 +29,9 @@
     let left = node.clock.until(job.deadline);
     let overrun_us = node.cfg.overrun_ms * MILLISECOND;
     let expected = node.registration.as_deref().and_then(registration::current);
-    let terms = terms(node, id, job, left, expected.as_ref());
-    let start = pool.starts();
-    let exchange = pool.exchange(&job.req, &terms);
+    let options = options(node, id, job, left, expected.as_ref());
+    let start = pool.incarnation_count();
+    let exchange = pool.exchange(&job.req, &options);
     match node.clock.by(job.deadline + overrun_us, exchange).await {
         Ok(Ok(answer)) => judge(node, id, job, expected.as_ref(), answer),
         Ok(Err(Failure::NotSent(error))) => {
@@ -72,7 +72,7 @@
     instance: Option<&Incarnation>,
     broke: Break,
 ) -> Verdict {
-    let has_ended = pool.starts() == broke.start && pool.has_ended().await;
+    let has_ended = pool.incarnation_count() == broke.start && pool.has_terminated().await;
     if !has_ended || node.is_draining() {
         return Verdict::Broken;
     }
@@ -91,13 +91,13 @@
 }
 
 /// What the upstream is told beside the request; `expected` is the start of it that is meant.
-fn terms<'a>(
+fn options<'a>(
     node: &'a Node,
     id: AttemptId,
     job: &'a Job,
     left: Duration,
     expected: Option<&Incarnation>,
-) -> Terms<'a> {
+) -> ExchangeOptions<'a> {
     let names = &node.cfg.headers;
     let mut headers = vec![(names.deadline_ms.as_str(), left.as_millis().to_string())];
     match &node.registration {
@@ -112,9 +112,9 @@
         }
     }
     let name = names.request_id.as_deref();
-    Terms {
+    ExchangeOptions {
         headers,
-        id: name
+        request_id: name
             .map(|name| (name, job.req.id.as_str()))
             .filter(|(_, id)| *id != "-"),
         repeatable: job.repeatable,
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -192,10 +192,10 @@
     match run.address.parse() {
         Ok(address) => {
             if let Some(pool) = &node.pool {
-                pool.replaced(address, run.slots as usize);
+                pool.upstream_replaced(address, run.slots as usize);
             }
             if let Some(pool) = &node.probe_pool {
-                pool.replaced(address, 1);
+                pool.upstream_replaced(address, 1);
             }
         }
         Err(error) => {
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -15,7 +15,7 @@
 use names::MILLISECOND;
 use std::rc::Rc;
 use std::time::Duration;
-use upstream::{Failure, Terms};
+use upstream::{ExchangeOptions, Failure};
 use wire::{Answer, Request};
 
 /// Longest wait for the answer: what a start may lose when the upstream does not answer at once. The
@@ -48,11 +48,11 @@
         stats::looked(Look::Refused);
         return ProbeResult::NoBudget;
     }
-    let terms = Terms {
+    let options = ExchangeOptions {
         repeatable: true,
-        ..Terms::default()
+        ..ExchangeOptions::default()
     };
-    let answer = match timeout(ANSWER_TIMEOUT, pool.exchange(&req, &terms)).await {
+    let answer = match timeout(ANSWER_TIMEOUT, pool.exchange(&req, &options)).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(Failure::NotSent(error) | Failure::Broken(error))) => {
             return failed(&error.to_string());
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -49,18 +49,18 @@
 
 /// What an exchange needs beside the request.
 #[derive(Debug, Default)]
-pub struct Terms<'a> {
+pub struct ExchangeOptions<'a> {
     /// Headers set by this node, in place of the caller's.
     pub headers: Vec<(&'a str, String)>,
     /// Header by which an answer repeats the request's identity, and the identity.
-    pub id: Option<(&'a str, &'a str)>,
+    pub request_id: Option<(&'a str, &'a str)>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
 /// What a connection that failed to open says of the port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Port {
+pub enum PortState {
     /// Nobody listens there.
     Closed,
     /// Whoever listened is closing it: a connection that waits to be taken then is reset.
@@ -69,13 +69,13 @@
     Unknown,
 }
 
-impl Port {
+impl PortState {
     /// Reads the error with which a connection failed to open.
-    pub fn of_connect_error(kind: ErrorKind) -> Port {
+    pub fn from_connect_error(kind: ErrorKind) -> PortState {
         match kind {
-            ErrorKind::ConnectionRefused => Port::Closed,
-            ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted => Port::Closing,
-            _ => Port::Unknown,
+            ErrorKind::ConnectionRefused => PortState::Closed,
+            ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted => PortState::Closing,
+            _ => PortState::Unknown,
         }
     }
 }
@@ -97,7 +97,7 @@
     close_delimited: CloseDelimited,
     idle: RefCell<Vec<Idle>>,
     /// Starts of the upstream so far: what is open to an earlier one is never used for a later one.
-    starts: Cell<u64>,
+    incarnation_count: Cell<u64>,
 }
 
 impl Pool {
@@ -120,34 +120,34 @@
             warm: Cell::new(warm),
             close_delimited,
             idle: RefCell::new(Vec::new()),
-            starts: Cell::new(0),
+            incarnation_count: Cell::new(0),
         }
     }
 
     /// Takes in that another run of the upstream stands beside this node.
-    pub fn replaced(&self, address: SocketAddr, warm: usize) {
+    pub fn upstream_replaced(&self, address: SocketAddr, warm: usize) {
         self.address.set(address);
         self.warm.set(warm);
         self.idle.borrow_mut().clear();
-        self.starts.set(self.starts.get() + 1);
+        self.incarnation_count.set(self.incarnation_count.get() + 1);
     }
 
     /// Sends a request and reads its whole answer.
     pub async fn exchange(
         &self,
         req: &Request,
-        terms: &Terms<'_>,
+        options: &ExchangeOptions<'_>,
     ) -> std::result::Result<Answer, Failure> {
-        let bytes = request_bytes(req, terms);
-        let start = self.starts.get();
+        let bytes = request_bytes(req, options);
+        let incarnation = self.incarnation_count.get();
         let mut connection = self
-            .take(terms.repeatable)
+            .take(options.repeatable)
             .await
             .map_err(Failure::NotSent)?;
         let writer = connection.stream().clone();
         let answered = {
             let writing = pin!(write_all(writer, &bytes));
-            let reading = pin!(self.read_answer(&mut connection, req, terms));
+            let reading = pin!(self.read_answer(&mut connection, req, options));
             match select(writing, reading).await {
                 Either::Left((Ok(()), reading)) => (reading.await, true),
                 Either::Left((Err((0, error)), _)) => {
@@ -163,7 +163,7 @@
         };
         let (answered, whole) = answered;
         let (answer, reusable) = answered.map_err(|error| self.broken(error))?;
-        if whole && !connection.has_bytes() && self.starts.get() == start {
+        if whole && !connection.has_bytes() && self.incarnation_count.get() == incarnation {
             if let Some(usable_for) = reusable {
                 self.put_back(connection, usable_for);
             }
@@ -187,14 +187,14 @@
     }
 
     /// Starts of the upstream so far.
-    pub fn starts(&self) -> u64 {
-        self.starts.get()
+    pub fn incarnation_count(&self) -> u64 {
+        self.incarnation_count.get()
     }
 
     /// Whether the upstream has ended: a connection to it is refused. One that is not answered says nothing, since a
     /// paused upstream does not answer either. A process that ends closes its connections one after the other, and
     /// its port among them: a connection that is taken and closed at once is looked into again.
-    pub async fn has_ended(&self) -> bool {
+    pub async fn has_terminated(&self) -> bool {
         for _ in 0..CLOSING_LOOKS {
             let connecting = TcpStream::connect(self.address.get());
             match timeout(REFUSAL_TIMEOUT, connecting).await {
@@ -204,10 +204,10 @@
                         return false;
                     }
                 }
-                Ok(Err(error)) => match Port::of_connect_error(error.kind()) {
-                    Port::Closed => return true,
-                    Port::Closing => {}
-                    Port::Unknown => return false,
+                Ok(Err(error)) => match PortState::from_connect_error(error.kind()) {
+                    PortState::Closed => return true,
+                    PortState::Closing => {}
+                    PortState::Unknown => return false,
                 },
                 Err(_) => return false,
             }
@@ -222,13 +222,13 @@
         &self,
         connection: &mut Connection<TcpStream>,
         req: &Request,
-        terms: &Terms<'_>,
+        options: &ExchangeOptions<'_>,
     ) -> std::result::Result<(Answer, Option<Duration>), Fault> {
         for _ in 0..=MAX_SURPLUS {
             let head = connection.response_head(MAX_HEAD_BYTES).await?;
             let framing = response_framing(&req.method, &head, self.close_delimited)?;
             let body = connection.body(framing, self.max_body_bytes as u64).await?;
-            if is_foreign(&head, terms) {
+            if is_foreign(&head, options) {
                 tracing::info!(status = head.status, "skipped a surplus answer");
                 continue;
             }
@@ -303,9 +303,9 @@
     Ok(())
 }
 
-fn request_bytes(req: &Request, terms: &Terms<'_>) -> Vec<u8> {
+fn request_bytes(req: &Request, options: &ExchangeOptions<'_>) -> Vec<u8> {
     let is_set = |name: &str| {
-        let mut set = terms.headers.iter();
+        let mut set = options.headers.iter();
         set.any(|(other, _)| name.eq_ignore_ascii_case(other))
     };
     let passed = req
@@ -313,7 +313,7 @@
         .iter()
         .filter(|(name, _)| !is_set(name))
         .map(|(name, value)| (name.as_str(), value.as_str()));
-    let set = terms
+    let set = options
         .headers
         .iter()
         .map(|(name, value)| (*name, value.as_str()));
@@ -328,8 +328,8 @@
 }
 
 /// Whether an answer names another request. One that names none can't be told apart.
-fn is_foreign(head: &ResponseHead, terms: &Terms<'_>) -> bool {
-    let Some((name, id)) = terms.id else {
+fn is_foreign(head: &ResponseHead, options: &ExchangeOptions<'_>) -> bool {
+    let Some((name, id)) = options.request_id else {
         return false;
     };
     http1::header_value(&head.headers, name).is_some_and(|given| given != id)
