--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -15,7 +15,7 @@
 const NANOS: u64 = 1_000;
 /// Time between two looks at the clock by who waits for a deadline: so much later than the deadline a wait may end
 /// after a suspension.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time since the start of the process, suspensions of the VM included.
 #[derive(Debug, Clone, Copy)]
@@ -30,14 +30,14 @@
     /// A clock that starts now.
     pub fn start() -> Clock {
         Clock {
-            start_us: since_boot_us(),
+            start_us: vm_uptime_us(),
             suspended_us: suspended_us(),
         }
     }
 
     /// The present moment; never 0, so that 0 can stand for "never".
     pub fn now(&self) -> Moment {
-        Moment(since_boot_us().saturating_sub(self.start_us) + 1)
+        Moment(vm_uptime_us().saturating_sub(self.start_us) + 1)
     }
 
     /// For how long the VM was suspended since the start of the process, in microseconds.
@@ -46,19 +46,19 @@
     }
 
     /// The time from now until `moment`; zero when it has passed.
-    pub fn until(&self, moment: Moment) -> Duration {
+    pub fn time_until(&self, moment: Moment) -> Duration {
         Duration::from_micros(moment.since(self.now()))
     }
 
     /// Waits for `future` until `deadline`, which passes during a suspension too.
-    pub async fn by<T>(
+    pub async fn timeout_at<T>(
         &self,
         deadline: Moment,
         future: impl Future<Output = T>,
     ) -> Result<T, TimeoutError> {
         let mut future = pin!(future);
         loop {
-            let wait = self.until(deadline).min(LOOK_EVERY);
+            let wait = self.time_until(deadline).min(CHECK_INTERVAL);
             match timeout(wait, future.as_mut()).await {
                 Ok(value) => return Ok(value),
                 Err(error) if self.now() >= deadline => return Err(error),
@@ -68,14 +68,14 @@
     }
 }
 
-fn since_boot_us() -> u64 {
+fn vm_uptime_us() -> u64 {
     micros(clock_gettime(ClockId::Boottime))
 }
 
 /// What the steady clock has missed: suspensions.
 fn suspended_us() -> u64 {
     let steady = micros(clock_gettime(ClockId::Monotonic));
-    since_boot_us().saturating_sub(steady)
+    vm_uptime_us().saturating_sub(steady)
 }
 
 fn micros(time: Timespec) -> u64 {
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -291,7 +291,7 @@
             .entry(self.key)
             .or_default()
             .push(tx);
-        match self.node.clock.by(self.deadline, rx.recv()).await {
+        match self.node.clock.timeout_at(self.deadline, rx.recv()).await {
             Ok(Ok(outcome)) => outcome,
             _ => RelayOutcome::Unknown(Reason::Deadline),
         }
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -134,7 +134,7 @@
             if self.call.is_done() {
                 return None;
             }
-            let next = pin!(self.node.clock.by(deadline, rx.recv()));
+            let next = pin!(self.node.clock.timeout_at(deadline, rx.recv()));
             event = match select(next, hung_up.as_mut()).await {
                 Either::Left((Ok(Ok(event)), _)) => event,
                 Either::Left((_, _)) => self.expired(),
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -26,13 +26,17 @@
     let Some(pool) = node.pool.clone() else {
         return (Verdict::NotSent, None);
     };
-    let left = node.clock.until(job.deadline);
+    let left = node.clock.time_until(job.deadline);
     let overrun_us = node.cfg.overrun_ms * MILLISECOND;
     let expected = node.registration.as_deref().and_then(registration::current);
     let options = options(node, id, job, left, expected.as_ref());
     let start = pool.incarnation_count();
     let exchange = pool.exchange(&job.req, &options);
-    match node.clock.by(job.deadline + overrun_us, exchange).await {
+    match node
+        .clock
+        .timeout_at(job.deadline + overrun_us, exchange)
+        .await
+    {
         Ok(Ok(answer)) => judge(node, id, job, expected.as_ref(), answer),
         Ok(Err(Failure::NotSent(error))) => {
             stats::upstream_failed("not-sent");
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -133,7 +133,7 @@
         req: relay.req,
     };
     links::send(node, coordinator, &frame);
-    let relayed = node.clock.by(deadline, rx.recv()).await;
+    let relayed = node.clock.timeout_at(deadline, rx.recv()).await;
     node.relays.borrow_mut().remove(&id);
     match relayed {
         Ok(Ok(relayed)) => relayed,
