--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use audit::stats::{self, Work};
 use audit::Origin;
-use errors::{contained, Step};
+use errors::{catch_panic, Step};
 use membership::VmList;
 use names::Name;
 use rand::seq::IndexedRandom;
@@ -63,7 +63,7 @@
     let (before, offered) = match begun {
         Ok(mut checking) => {
             let checked = loop {
-                let step = contained(Step::Declarations, "-", || checking.step());
+                let step = catch_panic(Step::Declarations, "-", || checking.step());
                 match step {
                     Ok(None) => {}
                     Ok(Some(checked)) => break checked,
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -11,7 +11,7 @@
 use audit::Origin;
 use audit::Purpose;
 use era::{Era, Position};
-use errors::{contained, Error, Result, Step};
+use errors::{catch_panic, Error, Result, Step};
 use platform::{Reading, Stored, Watched};
 use rollout::{Change, UncheckedRevision};
 use std::rc::Rc;
@@ -106,7 +106,7 @@
     for object in objects.iter().filter(|object| object.name.as_str() == name) {
         let began = node.now();
         let translate = || registration.adapter.translate(&object.value);
-        let translated = contained(Step::Platform, name, translate);
+        let translated = catch_panic(Step::Platform, name, translate);
         let written = match translated.and_then(|written| written) {
             Ok(written) => written,
             Err(error) => {
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -6,7 +6,7 @@
 mod contained;
 mod problem;
 
-pub use contained::contained;
+pub use contained::catch_panic;
 pub use problem::{Problem, Problems};
 
 use std::fmt;
