--- a/components/declarations/src/check.rs
+++ b/components/declarations/src/check.rs
@@ -61,7 +61,7 @@
 }
 
 fn read_groups(reader: &mut Reader, declarations: &mut Declarations) {
-    for (section, name) in reader.named("group") {
+    for (section, name) in reader.sections_of_kind("group") {
         let allowed = "names of VMs, separated by spaces";
         let Some(list) = reader.required(&section, "upstreams", allowed) else {
             continue;
@@ -83,7 +83,7 @@
 }
 
 fn read_halls(reader: &mut Reader, declarations: &mut Declarations) {
-    for (section, name) in reader.named("hall") {
+    for (section, name) in reader.sections_of_kind("hall") {
         let messages_per_s = budget(reader, &section, "measuring_messages_per_s");
         let slot_us_per_s = budget(reader, &section, "measuring_slot_us_per_s");
         let measuring = MeasuringBudget {
@@ -115,7 +115,7 @@
     declarations: &mut Declarations,
     problems: &mut Vec<Problem>,
 ) {
-    for (section, name) in reader.named("service") {
+    for (section, name) in reader.sections_of_kind("service") {
         let service = read_service(reader, bundle, declarations, &section, &name, problems);
         if let Some(service) = service {
             declarations.services.insert(service.name.clone(), service);
--- a/components/declarations/src/check_accounts.rs
+++ b/components/declarations/src/check_accounts.rs
@@ -13,7 +13,7 @@
 const HIDDEN: &str = "(hidden)";
 
 pub(crate) fn read(reader: &mut Reader, declarations: &mut Declarations) {
-    for (section, name) in reader.named("account") {
+    for (section, name) in reader.sections_of_kind("account") {
         let account = read_account(reader, &section, &name);
         let account = declarations.accounts.add(account);
         read_keys(reader, declarations, &section, &account);
--- a/components/declarations/src/check_routes.rs
+++ b/components/declarations/src/check_routes.rs
@@ -26,7 +26,7 @@
 }
 
 fn read_registered(reader: &mut Reader, declarations: &mut Declarations) {
-    for (section, name) in reader.named("registered") {
+    for (section, name) in reader.sections_of_kind("registered") {
         let name = Name::from(name);
         let allowed = "the path of the health check";
         let health_path = reader.required(&section, "health_path", allowed);
@@ -58,7 +58,7 @@
 
 fn read_routes(reader: &mut Reader, declarations: &mut Declarations) {
     let mut read = Vec::new();
-    for (section, name) in reader.named("route") {
+    for (section, name) in reader.sections_of_kind("route") {
         if let Some(route) = read_route(reader, declarations, &section, &name) {
             read.push((section, route));
         }
--- a/components/declarations/src/examples.rs
+++ b/components/declarations/src/examples.rs
@@ -7,7 +7,7 @@
 /// Runs every example of `file` against `policy`; a difference is a problem of the example.
 pub(crate) fn run(file: &str, text: &str, policy: &Policy) -> Result<(), Problems> {
     let mut reader = Reader::new(file, text)?;
-    for (section, _) in reader.named("example") {
+    for (section, _) in reader.sections_of_kind("example") {
         run_one(&mut reader, &section, policy);
     }
     reader.finish(&["example"])
--- a/components/model/src/read_site.rs
+++ b/components/model/src/read_site.rs
@@ -33,7 +33,7 @@
         let pace = pace(&mut reader);
         let (services, vms) = services(&mut reader, halls);
         let names: Vec<Name> = services.iter().map(|one| one.name.clone()).collect();
-        let sections = reader.named("class");
+        let sections = reader.sections_of_kind("class");
         let class_names: Vec<Name> = sections.iter().map(|(_, name)| name_of(name)).collect();
         let mut classes = Vec::new();
         let mut shares = Vec::new();
@@ -108,7 +108,7 @@
 }
 
 fn services(reader: &mut Reader, halls: usize) -> (Vec<Service>, Vec<Vm>) {
-    let sections = reader.named("service");
+    let sections = reader.sections_of_kind("service");
     if sections.is_empty() {
         reader.problem(
             "service",
--- a/components/model/src/scenario.rs
+++ b/components/model/src/scenario.rs
@@ -161,7 +161,7 @@
     let classes: Vec<Name> = site.classes.iter().map(|one| one.name.clone()).collect();
     let accounts: Vec<Name> = site.accounts.iter().map(|one| one.name.clone()).collect();
     let mut surges = Vec::new();
-    for (section, _) in reader.named("surge") {
+    for (section, _) in reader.sections_of_kind("surge") {
         let mut section = Section::new(reader, &section);
         let (from, until) = section.span();
         let times = section.number("times", 0.0..=100.0);
@@ -183,7 +183,7 @@
 
 fn troubles(reader: &mut Reader) -> Vec<Trouble> {
     let mut troubles = Vec::new();
-    for (section, _) in reader.named("trouble") {
+    for (section, _) in reader.sections_of_kind("trouble") {
         let mut section = Section::new(reader, &section);
         let (from, until) = section.span();
         let kind = if section.has("slow_factor") {
--- a/components/sections/src/reader.rs
+++ b/components/sections/src/reader.rs
@@ -74,12 +74,12 @@
     }
 
     /// Names after `prefix` and a space in section names such as `[group east]`.
-    pub fn named(&self, prefix: &str) -> Vec<(String, String)> {
+    pub fn sections_of_kind(&self, kind: &str) -> Vec<(String, String)> {
         self.sections()
             .into_iter()
             .filter_map(|section| {
-                let (kind, name) = section.split_once(' ')?;
-                (kind == prefix).then(|| (section.clone(), name.trim().to_string()))
+                let (found, name) = section.split_once(' ')?;
+                (found == kind).then(|| (section.clone(), name.trim().to_string()))
             })
             .collect()
     }
