--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -229,7 +229,7 @@
     let registered = service.and_then(|service| in_force.declarations.registered.get(&service));
     match registered.and_then(|registered| registered.cold) {
         Some(cold) => ColdCapacity::Limited {
-            starts_per_s: node.cfg.cold.most(cold.starts_per_s),
+            starts_per_s: node.cfg.cold.max_starts_per_s(cold.starts_per_s),
             cold_us: cold.duration_ms * MILLISECOND,
         },
         None => ColdCapacity::Unlimited,
--- a/components/settings/src/accounts.rs
+++ b/components/settings/src/accounts.rs
@@ -1,6 +1,6 @@
 //! Bounds on what client accounts get.
 
-use crate::millis::{Millis, MILLIS};
+use crate::millis::{Millis, MILLIS_FORMAT};
 use sections::Reader;
 
 /// How closely the fleet keeps to what is declared of client accounts.
@@ -20,8 +20,8 @@
 pub(crate) fn read(reader: &mut Reader) -> AccountBounds {
     let number = "a number, 0 or more";
     let Millis(withdrawn_within_ms) =
-        reader.value_or("accounts", "withdrawn_within", MILLIS, Millis(0));
-    let Millis(window_ms) = reader.value_or("accounts", "window", MILLIS, Millis(0));
+        reader.value_or("accounts", "withdrawn_within", MILLIS_FORMAT, Millis(0));
+    let Millis(window_ms) = reader.value_or("accounts", "window", MILLIS_FORMAT, Millis(0));
     AccountBounds {
         window_ms,
         withdrawn_within_ms: (withdrawn_within_ms > 0).then_some(withdrawn_within_ms),
--- a/components/settings/src/cold.rs
+++ b/components/settings/src/cold.rs
@@ -23,7 +23,7 @@
     };
 
     /// Most starts in any one second of an upstream that bears `starts_per_s` while it is cold.
-    pub fn most(&self, starts_per_s: u32) -> u32 {
+    pub fn max_starts_per_s(&self, starts_per_s: u32) -> u32 {
         let bound = f64::from(starts_per_s) * self.overshoot + self.slack;
         (bound as u32).saturating_sub(KEPT_BACK).max(1)
     }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -10,6 +10,6 @@
 pub use accounts::AccountBounds;
 pub use cold::ColdLimit;
 pub use headers::Headers;
-pub use millis::{Millis, MILLIS};
-pub use node::{Fleet, LogFormat, RetryLimit, Settings};
+pub use millis::{Millis, MILLIS_FORMAT};
+pub use node::{FleetSource, LogFormat, RetryLimit, Settings};
 pub use shortage::{Admission, Hedging, Mode};
--- a/components/settings/src/millis.rs
+++ b/components/settings/src/millis.rs
@@ -7,7 +7,7 @@
 pub struct Millis(pub u64);
 
 /// What a length of time must look like.
-pub const MILLIS: &str = "a length of time such as 1500, 1500ms or 1.5s";
+pub const MILLIS_FORMAT: &str = "a length of time such as 1500, 1500ms or 1.5s";
 
 impl FromStr for Millis {
     type Err = ();
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -3,7 +3,7 @@
 use crate::accounts::{self, AccountBounds};
 use crate::cold::{self, ColdLimit};
 use crate::headers::{self, Headers};
-use crate::millis::{Millis, MILLIS};
+use crate::millis::{Millis, MILLIS_FORMAT};
 use crate::shortage::{self, Admission, Hedging};
 use errors::{Problem, Problems};
 use names::Name;
@@ -12,9 +12,9 @@
 use std::path::Path;
 
 /// Most slots an upstream may have.
-const MOST_SLOTS: u64 = 10_000;
+const MAX_SLOTS: u64 = 10_000;
 /// Largest body that may be allowed, in bytes.
-const MOST_BODY_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 /// Body limit when none is set, in bytes.
 const DEFAULT_BODY_BYTES: u64 = 1024 * 1024;
 /// How long after the deadline an answer is waited for when nothing is set, in milliseconds: an
@@ -32,7 +32,7 @@
 /// bound for their whole fleet.
 const DEFAULT_IN_FORCE_WITHIN_MS: u64 = 4_000;
 /// Shortest fleet key, in characters.
-const LEAST_KEY_LENGTH: usize = 16;
+const MIN_KEY_LENGTH: usize = 16;
 
 /// The form of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 
 /// Where a node learns of the other nodes and of the declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fleet {
+pub enum FleetSource {
     /// From the platform's list of VMs and the head that operators write.
     Listed,
     /// From records that the nodes keep in the platform's store and tell one another; upstreams
@@ -64,12 +64,12 @@
     Registered,
 }
 
-impl std::str::FromStr for Fleet {
+impl std::str::FromStr for FleetSource {
     type Err = ();
-    fn from_str(text: &str) -> Result<Fleet, ()> {
+    fn from_str(text: &str) -> Result<FleetSource, ()> {
         match text {
-            "listed" => Ok(Fleet::Listed),
-            "registered" => Ok(Fleet::Registered),
+            "listed" => Ok(FleetSource::Listed),
+            "registered" => Ok(FleetSource::Registered),
             _ => Err(()),
         }
     }
@@ -137,7 +137,7 @@
     /// Rule of choice: expected, priced, two-choices or random; the last two are baselines of the benchmark.
     pub rule: String,
     /// Where the fleet and the declarations are learned.
-    pub fleet: Fleet,
+    pub fleet: FleetSource,
     /// Service that runs on the VM; the name under which its calls are made.
     pub service: Option<Name>,
     /// Whether the whole system starts for the first time.
@@ -218,7 +218,7 @@
     let peers_told = optional_address(reader, "listen", "peers_told");
     let operators = address(reader, "listen", "operators");
     let upstream = optional_address(reader, "upstream", "address");
-    let slots = reader.number_or("upstream", "slots", 1..=MOST_SLOTS, 1) as u32;
+    let slots = reader.number_or("upstream", "slots", 1..=MAX_SLOTS, 1) as u32;
     let usable = usable(reader);
     let looks_per_s = reader.number_or("upstream", "looks_per_s", 0..=1_000, 0) as u32;
     let max_connections = reader.number_or("upstream", "connections", 1..=100_000, 200) as usize;
@@ -235,7 +235,7 @@
     let max_body_bytes = reader.number_or(
         "limits",
         "body_bytes",
-        1..=MOST_BODY_BYTES,
+        1..=MAX_BODY_BYTES,
         DEFAULT_BODY_BYTES,
     ) as usize;
     let max_callers = reader.number_or("limits", "callers", 1..=100_000, 1_000) as usize;
@@ -256,7 +256,12 @@
         &["expected", "priced", "two-choices", "random"],
         "expected",
     );
-    let fleet = reader.value_or("platform", "fleet", "listed or registered", Fleet::Listed);
+    let fleet = reader.value_or(
+        "platform",
+        "fleet",
+        "listed or registered",
+        FleetSource::Listed,
+    );
     let service = reader
         .text("node", "service")
         .filter(|name| !name.is_empty());
@@ -318,7 +323,9 @@
 }
 
 fn millis(reader: &mut Reader, section: &str, key: &str, default: u64) -> u64 {
-    reader.value_or(section, key, MILLIS, Millis(default)).0
+    reader
+        .value_or(section, key, MILLIS_FORMAT, Millis(default))
+        .0
 }
 
 fn usable(reader: &mut Reader) -> f64 {
@@ -371,9 +378,9 @@
 }
 
 fn fleet_key(reader: &mut Reader) -> Option<String> {
-    let allowed = format!("the fleet's shared key, {LEAST_KEY_LENGTH} characters or more");
+    let allowed = format!("the fleet's shared key, {MIN_KEY_LENGTH} characters or more");
     let key = reader.required("peers", "key", &allowed)?;
-    if key.len() < LEAST_KEY_LENGTH {
+    if key.len() < MIN_KEY_LENGTH {
         reader.problem("peers", "key", "(hidden)", &format!("must be {allowed}"));
         return None;
     }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Bpaf;
 use platform::Adapter;
-use settings::{Fleet, LogFormat, Settings};
+use settings::{FleetSource, LogFormat, Settings};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -64,8 +64,8 @@
 /// The adapter for the platform that the settings name.
 fn adapter(cfg: &Settings) -> Option<Box<dyn Adapter>> {
     match cfg.fleet {
-        Fleet::Listed => None,
-        Fleet::Registered => {
+        FleetSource::Listed => None,
+        FleetSource::Registered => {
             let address = *cfg.platform.first()?;
             Some(Box::new(adapter::Platform::new(address)))
         }
