--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -133,7 +133,7 @@
             }
         }
         Frame::Summary(summary) => configuration::compare(node, from, &summary, reply),
-        Frame::Watch { word, summary } => watching::heard(node, from, word, &summary, reply),
+        Frame::Watch { notice, summary } => watching::heard(node, from, notice, &summary, reply),
         Frame::Want(summary) => configuration::wanted(node, from, &summary, reply),
         Frame::Configuration(configuration) => {
             let (node, from) = (node.clone(), from.clone());
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -329,9 +329,9 @@
     }
 }
 
-fn tell(node: &Rc<Node>, word: WatchNotice) {
+fn tell(node: &Rc<Node>, notice: WatchNotice) {
     let summary = node.summary();
-    let frame = Frame::Watch { word, summary };
+    let frame = Frame::Watch { notice, summary };
     if node.registration.is_some() {
         // Connections to the whole hall are kept open.
         links::tell_hall(node, &frame);
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -203,7 +203,7 @@
     Watch {
         /// What it says.
         #[serde(rename = "w")]
-        word: WatchNotice,
+        notice: WatchNotice,
         /// What it knows.
         #[serde(rename = "k")]
         summary: Summary,
