--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,11 +1,15 @@
-//! Which requests are kept from upstreams, because upstreams ended while they ran them.
+//! Quarantine of requests that are suspected of crashing upstreams.
 //!
-//! A request is known by its [`Fingerprint`], which copies that callers send again have in common. The node beside
-//! an upstream that ended tells all nodes what was at work there ([`Suspect`]). From then on a copy runs apart from
-//! other suspects, at one upstream on which all nodes agree ([`suspect_order`]), until one has run to its end: that clears
-//! it. One under which upstreams go on ending is held: no upstream sees it any more. What has run to a good end
-//! lately is neither: requests that many callers send are at work wherever an upstream ends. [`Quarantine`] is what one
-//! node knows; time is passed in, and what it says is carried by frames, by nodes' records and by the store.
+//! A request is identified by its [`Fingerprint`], which is the same for every copy that callers
+//! send. When an upstream terminates, its local node reports the requests in progress there to all
+//! nodes ([`Suspect`]). From then on copies of such a request are processed apart from other suspects,
+//! at an upstream on which all nodes agree ([`suspect_order`]), until one of them completes, which
+//! clears the request. A request under which upstreams keep terminating is quarantined: it is not
+//! sent to any upstream. A request that completed recently is neither suspect nor quarantined, since
+//! requests that many callers send are in progress wherever an upstream terminates.
+//!
+//! [`Quarantine`] holds the state of one node. Time is passed in; nodes exchange the state in frames,
+//! in their records and through the store.
 
 mod fingerprint;
 mod order;
--- a/components/quarantine/src/recent.rs
+++ b/components/quarantine/src/recent.rs
@@ -1,43 +1,44 @@
-//! Requests that have run to a good end lately.
+//! Requests that completed recently.
 
 use crate::fingerprint::Fingerprint;
 use names::{Moment, SECOND};
 use std::collections::{HashMap, VecDeque};
 
-/// A good end speaks for a request for so long, in microseconds. What many callers send runs well many times in
-/// that; what has turned harmful is held so much later.
-pub const SPEAKS_FOR_US: u64 = 30 * SECOND;
-/// Requests that are remembered at most: 160 KB. A node of the target serves 90 a second, so that these cover the
-/// time above.
-const MOST_REMEMBERED: usize = 4_096;
+/// Time for which a completed request counts as harmless, in microseconds. Requests that many
+/// callers send complete many times within it; the quarantine of a request that has become harmful
+/// is delayed by it.
+pub const RECENT_US: u64 = 30 * SECOND;
+/// Maximum number of remembered completions (160 KB). A node at the target load serves 90 requests
+/// per second, so these cover [`RECENT_US`].
+const MAX_REMEMBERED: usize = 4_096;
 
-/// When requests last ran to a good end, as one node saw it.
+/// Times of the latest completion of each request, as observed by one node.
 #[derive(Debug, Clone, Default)]
-pub struct RecentRuns {
-    last: HashMap<Fingerprint, Moment>,
+pub struct RecentCompletions {
+    latest: HashMap<Fingerprint, Moment>,
     order: VecDeque<(Moment, Fingerprint)>,
 }
 
-impl RecentRuns {
-    /// Takes in a good end.
-    pub fn ran(&mut self, now: Moment, fingerprint: Fingerprint) {
-        self.last.insert(fingerprint, now);
+impl RecentCompletions {
+    /// Records a completion and drops old ones.
+    pub fn record(&mut self, now: Moment, fingerprint: Fingerprint) {
+        self.latest.insert(fingerprint, now);
         self.order.push_back((now, fingerprint));
         while let Some((at, oldest)) = self.order.front().copied() {
-            let is_due = now.since(at) > SPEAKS_FOR_US || self.order.len() > MOST_REMEMBERED;
-            if !is_due {
+            let is_dropped = now.since(at) > RECENT_US || self.order.len() > MAX_REMEMBERED;
+            if !is_dropped {
                 return;
             }
             self.order.pop_front();
-            if self.last.get(&oldest) == Some(&at) {
-                self.last.remove(&oldest);
+            if self.latest.get(&oldest) == Some(&at) {
+                self.latest.remove(&oldest);
             }
         }
     }
 
-    /// Whether a request has run to a good end lately.
-    pub fn has(&self, now: Moment, fingerprint: Fingerprint) -> bool {
-        let last = self.last.get(&fingerprint);
-        last.is_some_and(|last| now.since(*last) <= SPEAKS_FOR_US)
+    /// Whether a request completed recently.
+    pub fn contains(&self, now: Moment, fingerprint: Fingerprint) -> bool {
+        let latest = self.latest.get(&fingerprint);
+        latest.is_some_and(|latest| now.since(*latest) <= RECENT_US)
     }
 }
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -1,41 +1,45 @@
-//! What one node knows of requests under which upstreams ended.
+//! Suspects and quarantined requests known to one node.
 
 use crate::fingerprint::Fingerprint;
-use crate::recent::{RecentRuns, SPEAKS_FOR_US};
+use crate::recent::{RecentCompletions, RECENT_US};
 use names::{AttemptId, BootId, Moment, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Ends after which a request is held if others that were as suspect ran beside it each time.
-const MOST_ENDS: usize = 3;
-/// The same at a node that has just started: it has not seen yet what runs well, and a word that cleared a request may
-/// have missed it. Upstreams that end together have a request that many callers send at work, each of them.
-const MOST_ENDS_EARLY: usize = 5;
-/// Ends after which it is held if it was the only suspect at one of them. Not one: whatever ends an upstream, a
-/// crash of its own too, several requests are at work there.
-const ENDS_ALONE: usize = 2;
-/// A suspect that nobody sends again is forgotten after so long, in microseconds. A copy costs little while it is
-/// one, and harmful ones may come minutes apart.
-const SUSPECT_KEPT_US: u64 = 3_600 * SECOND;
-/// A request that is held is forgotten after so long, in microseconds: by then its caller or the upstreams have
-/// been mended. A trial each hour would end an upstream each hour.
-const HELD_KEPT_US: u64 = 24 * 3_600 * SECOND;
-/// Ends that are remembered as settled at most: a word of one that comes late, by another way, says nothing new.
-const MOST_SETTLED: usize = 1_024;
-/// Requests that are remembered at most: 300 KB. Each costs an upstream its life, so a caller who makes up new ones
-/// adds a few in a second at most.
-const MOST_KNOWN: usize = 4_096;
-
-/// A request that was at work at an upstream when it ended.
+/// Number of terminations after which a request is quarantined if other suspects were in progress at
+/// each of them.
+const THRESHOLD: usize = 3;
+/// The same at a node that has just started. It has not yet observed which requests complete, and may
+/// have missed the notice that cleared one. When several upstreams terminate together, a request that
+/// many callers send is in progress at each of them.
+const STARTUP_THRESHOLD: usize = 5;
+/// Number of terminations after which a request is quarantined if it was the only suspect at one of
+/// them. One is not enough: several requests are in progress at an upstream that terminates for any
+/// reason, including a crash of its own.
+const SOLE_SUSPECT_THRESHOLD: usize = 2;
+/// A suspect that is not sent again is forgotten after this time, in microseconds. Treating copies as
+/// suspect costs little, and harmful ones may arrive minutes apart.
+const SUSPECT_TTL_US: u64 = 3_600 * SECOND;
+/// A quarantined request is forgotten after this time, in microseconds: by then its caller or the
+/// upstreams have been fixed. A trial every hour would crash an upstream every hour.
+const QUARANTINE_TTL_US: u64 = 24 * 3_600 * SECOND;
+/// Maximum number of terminations remembered as settled. A notice of one of these that arrives late,
+/// by another path, has no effect.
+const MAX_SETTLED: usize = 1_024;
+/// Maximum number of remembered requests (300 KB). Each has cost the termination of an upstream, so a
+/// caller that makes up new requests adds a few per second at most.
+const MAX_ENTRIES: usize = 4_096;
+
+/// A request that was in progress at an upstream when it terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// The end: boot and counter of the node that saw it.
+    /// Identifies the termination by the boot and a counter of the node that observed it.
     #[serde(rename = "e")]
     pub termination: AttemptId,
-    /// Whether it was the only request there that may have ended it, by all that the node beside it knows.
+    /// Whether it was the only request there that may have caused the termination, as far as the local
+    /// node knows.
     #[serde(rename = "a")]
     pub sole_suspect: bool,
 }
@@ -45,94 +49,96 @@
 pub enum Verdict {
     /// Nothing is known against it.
     Free,
-    /// It may run apart from other suspects.
+    /// It is processed apart from other suspects.
     Suspect,
-    /// No upstream sees it.
+    /// Quarantined: it is not sent to any upstream.
     Held,
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
-    /// Ends under it, with whether it was the only suspect there.
-    ends: Vec<(AttemptId, bool)>,
-    /// Whether another node holds it.
-    is_told: bool,
-    /// When something was last learned against it.
-    at: Moment,
+    /// Terminations during the request, with whether it was the only suspect.
+    terminations: Vec<(AttemptId, bool)>,
+    /// Whether another node has quarantined it.
+    quarantined_by_peer: bool,
+    /// When a termination or a quarantine of another node was last recorded.
+    updated_at: Moment,
 }
 
 impl Entry {
-    /// Whether it is held, by a node that holds after `most_ends` where it was never the only suspect.
-    fn is_held(&self, most_ends: usize) -> bool {
-        let was_alone = self.ends.iter().any(|(_, alone)| *alone);
-        self.is_told || self.ends.len() >= most_ends || was_alone && self.ends.len() >= ENDS_ALONE
+    /// Whether the request is quarantined, given the threshold for one that was never the only suspect.
+    fn is_quarantined(&self, threshold: usize) -> bool {
+        let was_sole_suspect = self.terminations.iter().any(|(_, sole)| *sole);
+        self.quarantined_by_peer
+            || self.terminations.len() >= threshold
+            || was_sole_suspect && self.terminations.len() >= SOLE_SUSPECT_THRESHOLD
     }
 
-    fn kept_us(&self) -> u64 {
-        if self.is_held(MOST_ENDS) {
-            HELD_KEPT_US
+    fn ttl_us(&self) -> u64 {
+        if self.is_quarantined(THRESHOLD) {
+            QUARANTINE_TTL_US
         } else {
-            SUSPECT_KEPT_US
+            SUSPECT_TTL_US
         }
     }
 }
 
-/// The requests that are suspect or held, as one node knows them.
+/// The suspects and quarantined requests that one node knows.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     /// When the node started.
-    started: Moment,
-    known: HashMap<Fingerprint, Entry>,
-    recent: RecentRuns,
-    /// Ends under requests that have run to a good end since.
+    started_at: Moment,
+    entries: HashMap<Fingerprint, Entry>,
+    recent: RecentCompletions,
+    /// Terminations whose requests have been cleared since.
     settled: HashSet<(Fingerprint, AttemptId)>,
     settled_order: VecDeque<(Fingerprint, AttemptId)>,
 }
 
 impl Quarantine {
-    /// What a node knows that started at this moment: nothing.
-    pub fn new(started: Moment) -> Quarantine {
+    /// The empty state of a node that started at `started_at`.
+    pub fn new(started_at: Moment) -> Quarantine {
         Quarantine {
-            started,
+            started_at,
             ..Quarantine::default()
         }
     }
 
-    fn most_ends(&self, now: Moment) -> usize {
-        if now.since(self.started) < SPEAKS_FOR_US {
-            MOST_ENDS_EARLY
+    fn threshold(&self, now: Moment) -> usize {
+        if now.since(self.started_at) < RECENT_US {
+            STARTUP_THRESHOLD
         } else {
-            MOST_ENDS
+            THRESHOLD
         }
     }
 
-    /// Whether nothing is known against any request.
+    /// Whether no request is suspect or quarantined.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
     /// How a request is treated.
     pub fn verdict(&self, now: Moment, fingerprint: Fingerprint) -> Verdict {
-        match self.known.get(&fingerprint) {
+        match self.entries.get(&fingerprint) {
             None => Verdict::Free,
             Some(_) if self.completed_recently(now, fingerprint) => Verdict::Free,
-            Some(entry) if entry.is_held(self.most_ends(now)) => Verdict::Held,
+            Some(entry) if entry.is_quarantined(self.threshold(now)) => Verdict::Held,
             Some(_) => Verdict::Suspect,
         }
     }
 
-    /// Whether a request has run to a good end lately, as far as this node has seen.
+    /// Whether a request completed recently, as far as this node has observed.
     pub fn completed_recently(&self, now: Moment, fingerprint: Fingerprint) -> bool {
-        self.recent.has(now, fingerprint)
+        self.recent.contains(now, fingerprint)
     }
 
-    /// Takes in that a request ran to a good end elsewhere.
+    /// Records that a request completed at another upstream.
     pub fn on_remote_completion(&mut self, now: Moment, fingerprint: Fingerprint) {
-        self.recent.ran(now, fingerprint);
+        self.recent.record(now, fingerprint);
     }
 
-    /// Takes in that an upstream ended under a request. Returns whether that is news: each end counts once,
-    /// whoever tells it and however often.
+    /// Records that an upstream terminated while it processed a request. Returns whether this is new:
+    /// each termination counts once, however many nodes report it and however often.
     pub fn on_termination(&mut self, now: Moment, suspect: Suspect) -> bool {
         if self
             .settled
@@ -142,111 +148,115 @@
         }
         let entry = self.entry(now, suspect.fingerprint);
         if entry
-            .ends
+            .terminations
             .iter()
-            .any(|(end, _)| *end == suspect.termination)
+            .any(|(id, _)| *id == suspect.termination)
         {
             return false;
         }
-        if entry.ends.len() >= MOST_ENDS_EARLY {
+        if entry.terminations.len() >= STARTUP_THRESHOLD {
             return false;
         }
-        entry.at = now;
-        entry.ends.push((suspect.termination, suspect.sole_suspect));
+        entry.updated_at = now;
+        entry
+            .terminations
+            .push((suspect.termination, suspect.sole_suspect));
         true
     }
 
-    /// Takes in that another node holds a request. Returns whether this one did not.
+    /// Records that another node has quarantined a request. Returns whether this node had not.
     pub fn on_peer_quarantine(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
-        let most_ends = self.most_ends(now);
+        let threshold = self.threshold(now);
         let entry = self.entry(now, fingerprint);
-        let is_news = !entry.is_held(most_ends);
-        entry.is_told = true;
-        entry.at = now;
-        is_news
+        let is_new = !entry.is_quarantined(threshold);
+        entry.quarantined_by_peer = true;
+        entry.updated_at = now;
+        is_new
     }
 
-    /// Takes in that no other node holds a request any more. What is known of ends under it stays.
+    /// Records that no other node quarantines a request any more. Its known terminations are kept.
     pub fn on_peer_release(&mut self, fingerprint: Fingerprint) {
-        let Some(entry) = self.known.get_mut(&fingerprint) else {
+        let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return;
         };
-        entry.is_told = false;
-        if entry.ends.is_empty() {
-            self.known.remove(&fingerprint);
+        entry.quarantined_by_peer = false;
+        if entry.terminations.is_empty() {
+            self.entries.remove(&fingerprint);
         }
     }
 
-    /// Takes in that a request has run to its end beside this node, and the upstream went on. Returns whether
-    /// anything was known against it.
+    /// Records that a request completed at the local upstream, and clears it. Returns whether it was
+    /// suspect or quarantined.
     pub fn on_local_completion(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
-        self.recent.ran(now, fingerprint);
+        self.recent.record(now, fingerprint);
         self.clear(fingerprint)
     }
 
-    /// Forgets what is known against a request. Returns whether anything was.
+    /// Forgets a request and settles its terminations. Returns whether it was suspect or quarantined.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
-        let Some(entry) = self.known.remove(&fingerprint) else {
+        let Some(entry) = self.entries.remove(&fingerprint) else {
             return false;
         };
-        for (end, _) in entry.ends {
-            self.settle(fingerprint, end);
+        for (termination, _) in entry.terminations {
+            self.settle(fingerprint, termination);
         }
         true
     }
 
-    /// Whether the node with this boot saw one of the ends under a request.
+    /// Whether the node with this boot observed one of the terminations of a request.
     pub fn was_observed_by(&self, boot: BootId, fingerprint: Fingerprint) -> bool {
-        let entry = self.known.get(&fingerprint);
-        entry.is_some_and(|entry| entry.ends.iter().any(|(end, _)| end.boot == boot))
+        let entry = self.entries.get(&fingerprint);
+        entry.is_some_and(|entry| entry.terminations.iter().any(|(id, _)| id.boot == boot))
     }
 
-    /// Ends known under a request.
+    /// Number of known terminations of a request.
     pub fn termination_count(&self, fingerprint: Fingerprint) -> usize {
-        self.known
+        self.entries
             .get(&fingerprint)
-            .map_or(0, |entry| entry.ends.len())
+            .map_or(0, |entry| entry.terminations.len())
     }
 
-    /// Requests that are held.
+    /// The quarantined requests.
     pub fn quarantined(&self, now: Moment) -> impl Iterator<Item = Fingerprint> + '_ {
-        let most_ends = self.most_ends(now);
-        let held = self.known.iter();
-        let held = held.filter(move |(_, entry)| entry.is_held(most_ends));
-        held.map(|(fingerprint, _)| *fingerprint)
+        let threshold = self.threshold(now);
+        let entries = self.entries.iter();
+        let quarantined = entries.filter(move |(_, entry)| entry.is_quarantined(threshold));
+        quarantined.map(|(fingerprint, _)| *fingerprint)
     }
 
-    /// Forgets what is old.
+    /// Drops entries whose time to live has passed.
     pub fn expire(&mut self, now: Moment) {
-        self.known
-            .retain(|_, entry| now.since(entry.at) <= entry.kept_us());
+        self.entries
+            .retain(|_, entry| now.since(entry.updated_at) <= entry.ttl_us());
     }
 
-    fn settle(&mut self, fingerprint: Fingerprint, end: AttemptId) {
-        if self.settled_order.len() >= MOST_SETTLED {
+    fn settle(&mut self, fingerprint: Fingerprint, termination: AttemptId) {
+        if self.settled_order.len() >= MAX_SETTLED {
             if let Some(oldest) = self.settled_order.pop_front() {
                 self.settled.remove(&oldest);
             }
         }
-        if self.settled.insert((fingerprint, end)) {
-            self.settled_order.push_back((fingerprint, end));
+        if self.settled.insert((fingerprint, termination)) {
+            self.settled_order.push_back((fingerprint, termination));
         }
     }
 
-    /// The entry of a request; a new one takes the place of the oldest where there are too many, of one that is
-    /// not held while there is one.
+    /// The entry of a request. When the table is full, a new entry evicts the oldest suspect, or the
+    /// oldest quarantined request if there are no suspects.
     fn entry(&mut self, now: Moment, fingerprint: Fingerprint) -> &mut Entry {
-        if self.known.len() >= MOST_KNOWN && !self.known.contains_key(&fingerprint) {
-            let by_age = |(_, entry): &(&Fingerprint, &Entry)| (entry.is_held(MOST_ENDS), entry.at);
-            let oldest = self.known.iter().min_by_key(by_age);
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&fingerprint) {
+            let eviction_order = |(_, entry): &(&Fingerprint, &Entry)| {
+                (entry.is_quarantined(THRESHOLD), entry.updated_at)
+            };
+            let oldest = self.entries.iter().min_by_key(eviction_order);
             if let Some(oldest) = oldest.map(|(oldest, _)| *oldest) {
-                self.known.remove(&oldest);
+                self.entries.remove(&oldest);
             }
         }
-        self.known.entry(fingerprint).or_insert_with(|| Entry {
-            ends: Vec::new(),
-            is_told: false,
-            at: now,
+        self.entries.entry(fingerprint).or_insert_with(|| Entry {
+            terminations: Vec::new(),
+            quarantined_by_peer: false,
+            updated_at: now,
         })
     }
 }
