--- a/components/era/src/duty.rs
+++ b/components/era/src/duty.rs
@@ -1,49 +1,51 @@
-//! The state machine of one node.
+//! State machine of one node.
 
 use crate::place::{Era, Position};
 use names::{Moment, MILLISECOND, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Time over which all nodes offer their records after a return, in microseconds: half of the two seconds within which
-/// the records must stand again; the rest is for one failed call, and for a node that asks another one.
+/// Time over which the nodes spread the offers of their records after a restore, in microseconds. It is
+/// half of the 2 s within which the store must hold all records again; the other half allows for one
+/// failed call, and for a node that has another one write its record.
 pub const OFFER_SPREAD_US: u64 = SECOND;
-/// A write that got no answer may still be done for so long, in microseconds: the users' store does so up to 6 s later.
+/// An unanswered write may still take effect within this time, in microseconds: the platform's store
+/// applies writes up to 6 s late.
 pub const LATE_WRITE_US: u64 = 8 * SECOND;
-/// The offer that follows such a write waits so much longer, in microseconds.
+/// Additional delay of the offer that follows such a write, in microseconds.
 const AFTER_LATE_WRITE_US: u64 = 100 * MILLISECOND;
 
-/// What an era that was told is to this node.
+/// How a reported era compares with the highest one that the node knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraOrder {
-    /// Known.
+    /// It is the known era.
     Same,
-    /// Over: whatever came with it says nothing of the present.
+    /// It has ended: data that was reported with it is out of date.
     Earlier,
-    /// The first one that this node hears of: nothing that it holds is of another.
+    /// It is the first one that this node knows, so nothing that the node holds belongs to another.
     First,
-    /// The store came back since `from`.
+    /// The store was restored since `from`.
     Later {
-        /// The era known before.
+        /// The previously known era.
         from: Era,
     },
 }
 
-/// What a node knows of the store's era, and what it owes the store since the last return.
+/// The store's era as one node knows it, and the pending offer of the node's record to the store.
 #[derive(Debug, Clone)]
 pub struct Eras {
     known: Option<Era>,
-    /// Up to which the declarations were read.
+    /// Position up to which the declarations were read.
     read: Option<Position>,
-    /// When this node offers its record again.
+    /// When this node offers its record next.
     offer_at: Option<Moment>,
-    /// Until when a write without an answer may still be done.
+    /// Until when an unanswered write may still take effect.
     in_doubt_until: Option<Moment>,
     rng: SmallRng,
 }
 
 impl Eras {
-    /// A node that has just started.
+    /// The state of a node that has just started. `seed` determines how offers are spread.
     pub fn new(seed: u64) -> Eras {
         Eras {
             known: None,
@@ -54,12 +56,12 @@
         }
     }
 
-    /// The highest era that is known; none where the store tells none.
+    /// The highest known era. None if the store reports no era.
     pub fn known(&self) -> Option<Era> {
         self.known
     }
 
-    /// Takes in that the store, or another node, told of `era`.
+    /// Handles an era that the store or another node reported.
     pub fn observe(&mut self, now: Moment, era: Era) -> EraOrder {
         let Some(known) = self.known else {
             self.known = Some(era);
@@ -73,12 +75,12 @@
         }
         self.known = Some(era);
         self.read = None;
-        let pause_us = self.rng.random_range(0..=OFFER_SPREAD_US);
-        self.offer_at = Some(now + pause_us);
+        let delay_us = self.rng.random_range(0..=OFFER_SPREAD_US);
+        self.offer_at = Some(now + delay_us);
         EraOrder::Later { from: known }
     }
 
-    /// The declarations were read up to `at`. A place of another era says nothing.
+    /// Records that the declarations were read up to `at`. Ignored if `at` belongs to another era.
     pub fn read_up_to(&mut self, at: Position) {
         if at.era != self.known {
             return;
@@ -89,28 +91,28 @@
         }
     }
 
-    /// Nothing is known of the history any more.
+    /// Discards the position, because the history is no longer known.
     pub fn forget_position(&mut self) {
         self.read = None;
     }
 
-    /// Up to which the declarations were read, in the present era.
+    /// Position up to which the declarations were read in the current era.
     pub fn position(&self) -> Option<Position> {
         self.read.filter(|read| read.era == self.known)
     }
 
-    /// Whether a word that belongs to `era` is of the present one.
+    /// Whether `era` is the current one.
     pub fn is_current(&self, era: Option<Era>) -> bool {
         era == self.known
     }
 
-    /// When this node offers its record to the store again; none if it owes none.
+    /// When this node offers its record to the store again. None if no offer is pending.
     pub fn offer_at(&self) -> Option<Moment> {
         self.offer_at
     }
 
-    /// The record stands in the store of `era`. If a write from before may still be done over it, it is offered once
-    /// more after that.
+    /// Records that the store holds the node's record in `era`. If an earlier unanswered write may still
+    /// overwrite it, the record is offered once more after that.
     pub fn record_stored(&mut self, now: Moment, era: Option<Era>) {
         if era != self.known {
             return;
@@ -122,7 +124,7 @@
         };
     }
 
-    /// A write of the record got no answer.
+    /// Records that a write of the node's record was not answered.
     pub fn write_unanswered(&mut self, now: Moment) {
         self.in_doubt_until = Some(now + LATE_WRITE_US);
     }
--- a/components/era/src/lib.rs
+++ b/components/era/src/lib.rs
@@ -1,8 +1,10 @@
-//! Eras of the platform's store: what its return from an older copy makes of what a node holds.
+//! Eras of the platform's store, and which state of a node remains valid when the store is restored
+//! from an older copy.
 //!
-//! The store counts its returns and tells the count with every answer ([`Era`]). Revisions are given out again after
-//! one, so a place in its history is an era with a revision ([`Position`]). [`Eras`] decides what still holds once a later
-//! era is known, and when this node offers its record to the store again.
+//! The store counts its restores and reports the count with every answer ([`Era`]). After a restore it
+//! assigns the same revisions again, so a position in its history consists of an era and a revision
+//! ([`Position`]). [`Eras`] decides what remains valid when a later era becomes known, and when this
+//! node offers its record to the store again.
 
 mod duty;
 mod place;
--- a/components/era/src/place.rs
+++ b/components/era/src/place.rs
@@ -1,9 +1,9 @@
-//! Places in the store's history.
+//! Positions in the store's history.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How often the store has come back from an older copy, as it counts itself.
+/// Number of times that the store was restored from an older copy, as the store counts it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -16,26 +16,26 @@
     }
 }
 
-/// A place in the store's history. Two places of different eras have no order in time: both eras may begin with the
-/// same changes.
+/// A position in the store's history. Positions of different eras have no order in time: both eras may
+/// begin with the same changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Position {
-    /// The era; none where the store tells none.
+    /// The era, if the store reports one.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub era: Option<Era>,
-    /// The revision within it.
+    /// The revision within the era.
     #[serde(rename = "r", default)]
     pub revision: u64,
 }
 
 impl Position {
-    /// Whether this is the default: no place at all.
+    /// Whether this is the default, which stands for no position.
     pub fn is_none(&self) -> bool {
         *self == Position::default()
     }
 
-    /// Whether what was read here goes before what was read at `other`, where both have the same number: operators
-    /// write again what a return has lost, and need not write the same.
+    /// Whether content read at this position replaces content of the same number read at `other`.
+    /// Operators rewrite what a restore has lost, and the new content may differ.
     pub fn supersedes(&self, other: &Position) -> bool {
         (self.era, self.revision) > (other.era, other.revision)
     }
