--- a/components/era/src/place.rs
+++ b/components/era/src/place.rs
@@ -34,8 +34,9 @@
         *self == Position::default()
     }
 
-    /// Whether content read at this position replaces content of the same number read at `other`.
-    /// Operators rewrite what a restore has lost, and the new content may differ.
+    /// Whether content read at this position takes precedence over content with the same number that was
+    /// read at `other`. Operators rewrite what a restore has lost, and the new content may
+    /// differ.
     pub fn supersedes(&self, other: &Position) -> bool {
         (self.era, self.revision) > (other.era, other.revision)
     }
--- a/components/evacuation/src/duty.rs
+++ b/components/evacuation/src/duty.rs
@@ -1,87 +1,89 @@
-//! The state machine of one node.
+//! State machine of one node.
 
 use era::Position;
 use names::{Moment, Name, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After the store came back from an older copy, operators write again what it lost. A hall that was evacuated before
-/// stays so for this time, in microseconds: otherwise its upstreams got work between the loss and the second writing.
+/// How long an evacuation that a restore of the store has lost stays in effect, in microseconds. Operators
+/// rewrite what a restore has lost; without this time the hall's upstreams would get work until then.
 pub const RESTORE_GRACE_US: u64 = 5 * SECOND;
 
-/// The halls that are evacuated, as nodes tell one another.
+/// The evacuated halls, as nodes exchange them.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Evacuated {
-    /// Up to where in the store's history this is known.
+    /// Position in the store's history up to which this is known.
     #[serde(rename = "w")]
     pub as_of: Position,
-    /// The halls.
     #[serde(rename = "h", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub halls: BTreeSet<Name>,
 }
 
-/// What one node knows of evacuations.
+/// The evacuations that one node knows.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
-    /// None before anything was read or told.
+    /// None until the store was read or another node reported something.
     known: Option<Evacuated>,
-    /// Halls that a return of the store has lost, and until when they stay evacuated all the same.
-    kept: BTreeMap<Name, Moment>,
+    /// Halls whose evacuation a restore of the store has lost, and until when they stay evacuated.
+    retained: BTreeMap<Name, Moment>,
 }
 
 impl Evacuations {
-    /// What this node knows, for others; none before it knows anything.
+    /// The state to send to other nodes. None if nothing is known yet.
     pub fn known(&self) -> Option<&Evacuated> {
         self.known.as_ref()
     }
 
-    /// Up to where the store was read.
+    /// Position up to which the store was read.
     pub fn as_of(&self) -> Option<Position> {
         self.known.as_ref().map(|known| known.as_of)
     }
 
-    /// The halls that get no new work now.
+    /// The halls that get no new work at present.
     pub fn halls(&self, now: Moment) -> BTreeSet<Name> {
         let known = self.known.iter().flat_map(|known| known.halls.iter());
-        let kept = self.kept.iter().filter(|(_, until)| **until > now);
-        known.chain(kept.map(|(hall, _)| hall)).cloned().collect()
+        let retained = self.retained.iter().filter(|(_, until)| **until > now);
+        known
+            .chain(retained.map(|(hall, _)| hall))
+            .cloned()
+            .collect()
     }
 
-    /// Whether a hall gets no new work now.
+    /// Whether a hall gets no new work at present.
     pub fn is_evacuated(&self, now: Moment, hall: &Name) -> bool {
         let is_known = |known: &Evacuated| known.halls.contains(hall);
-        let is_kept = self.kept.get(hall).is_some_and(|until| *until > now);
-        is_kept || self.known.as_ref().is_some_and(is_known)
+        let is_retained = self.retained.get(hall).is_some_and(|until| *until > now);
+        is_retained || self.known.as_ref().is_some_and(is_known)
     }
 
-    /// Takes in all that the store held at `as_of`, as read here or told by another node. Returns whether other halls get
-    /// no new work by that; what is older than what is known changes nothing.
-    pub fn apply(&mut self, now: Moment, told: Evacuated) -> bool {
+    /// Applies the complete set of evacuations at a position, as read from the store or reported by another
+    /// node. A set older than the known one is ignored. Returns whether the evacuated halls changed.
+    pub fn apply(&mut self, now: Moment, reported: Evacuated) -> bool {
         let before = self.halls(now);
         match &self.known {
-            Some(known) if !told.as_of.supersedes(&known.as_of) => return false,
-            Some(known) if told.as_of.era != known.as_of.era => {
-                let lost = known.halls.difference(&told.halls).cloned();
+            Some(known) if !reported.as_of.supersedes(&known.as_of) => return false,
+            Some(known) if reported.as_of.era != known.as_of.era => {
+                let lost = known.halls.difference(&reported.halls).cloned();
                 let until = now + RESTORE_GRACE_US;
-                self.kept.extend(lost.map(|hall| (hall, until)));
+                self.retained.extend(lost.map(|hall| (hall, until)));
             }
             _ => {}
         }
-        // What is written again holds by that, until it is taken back.
-        self.kept
-            .retain(|hall, until| *until > now && !told.halls.contains(hall));
-        self.known = Some(told);
+        // A rewritten evacuation is in effect by itself, until it is lifted.
+        self.retained
+            .retain(|hall, until| *until > now && !reported.halls.contains(hall));
+        self.known = Some(reported);
         self.halls(now) != before
     }
 
-    /// Takes in what has changed since the place up to which the store was read. Returns whether other halls get no new
-    /// work by that.
+    /// Applies the changes since the position up to which the store was read. Returns whether the evacuated
+    /// halls changed.
     pub fn apply_changes(
         &mut self,
         now: Moment,
         as_of: Position,
         evacuated: impl IntoIterator<Item = Name>,
-        taken_back: &[Name],
+        lifted: &[Name],
     ) -> bool {
         let mut halls = self
             .known
@@ -89,11 +91,11 @@
             .map(|known| known.halls.clone())
             .unwrap_or_default();
         halls.extend(evacuated);
-        halls.retain(|hall| !taken_back.contains(hall));
+        halls.retain(|hall| !lifted.contains(hall));
         self.apply(now, Evacuated { as_of, halls })
     }
 
-    /// Whether the other node knows another set of halls, and an older one.
+    /// Whether the other node knows a different and older set of halls.
     pub fn is_newer_than(&self, theirs: Option<&Evacuated>) -> bool {
         let Some(known) = &self.known else {
             return false;
--- a/components/evacuation/src/lib.rs
+++ b/components/evacuation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Data halls whose upstreams get no new work, because operators say so.
+//! Data halls whose upstreams get no new work because operators evacuated the hall.
 //!
-//! Operators evacuate a hall in the platform's store and take it back there; nodes that watch the store tell the
-//! others. [`Evacuated`] is what they tell: the halls, and the place in the store's history up to which that is known.
-//! [`Evacuations`] decides what of it holds here.
+//! Operators evacuate a hall in the platform's store and lift the evacuation there. Nodes that watch the
+//! store notify the others with [`Evacuated`]: the evacuated halls, and the position in the store's
+//! history up to which this is known. [`Evacuations`] decides which evacuations apply at this node.
 
 mod duty;
 
--- a/components/evacuation/tests/evacuations.rs
+++ b/components/evacuation/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! What a node believes of evacuated halls: in whatever order words come, the newest one holds.
+//! Evacuated halls as one node knows them: whatever the order of notices, the newest one is in effect.
 
 use era::{Era, Position};
 use evacuation::{Evacuated, Evacuations, RESTORE_GRACE_US};
@@ -8,7 +8,7 @@
 
 const NOW: Moment = Moment(50 * SECOND);
 
-fn place(era: u64, revision: u64) -> Position {
+fn position(era: u64, revision: u64) -> Position {
     Position {
         era: Some(Era(era)),
         revision,
@@ -19,53 +19,53 @@
     names.iter().map(|name| Name::from(*name)).collect()
 }
 
-fn told(era: u64, revision: u64, names: &[&str]) -> Evacuated {
+fn evacuated(era: u64, revision: u64, names: &[&str]) -> Evacuated {
     Evacuated {
-        as_of: place(era, revision),
+        as_of: position(era, revision),
         halls: halls(names),
     }
 }
 
 #[test]
-fn a_hall_is_evacuated_until_it_is_taken_back() {
+fn hall_is_evacuated_until_the_evacuation_is_lifted() {
     let mut node = Evacuations::default();
     assert!(!node.is_evacuated(NOW, &"a".into()));
-    assert!(node.apply(NOW, told(1, 5, &["a"])));
+    assert!(node.apply(NOW, evacuated(1, 5, &["a"])));
     assert!(node.is_evacuated(NOW, &"a".into()));
-    assert!(node.apply_changes(NOW, place(1, 9), [], &["a".into()]));
+    assert!(node.apply_changes(NOW, position(1, 9), [], &["a".into()]));
     assert!(!node.is_evacuated(NOW, &"a".into()));
 }
 
 #[test]
-fn a_word_that_is_older_than_what_is_known_changes_nothing() {
+fn older_notice_is_ignored() {
     let mut node = Evacuations::default();
-    node.apply(NOW, told(1, 9, &[]));
-    assert!(!node.apply(NOW, told(1, 5, &["a"])));
+    node.apply(NOW, evacuated(1, 9, &[]));
+    assert!(!node.apply(NOW, evacuated(1, 5, &["a"])));
     assert!(!node.is_evacuated(NOW, &"a".into()));
     let mut node = Evacuations::default();
-    node.apply(NOW, told(1, 9, &["a"]));
-    assert!(!node.apply(NOW, told(1, 5, &[])));
+    node.apply(NOW, evacuated(1, 9, &["a"]));
+    assert!(!node.apply(NOW, evacuated(1, 5, &[])));
     assert!(node.is_evacuated(NOW, &"a".into()));
 }
 
 #[test]
-fn a_node_that_knows_of_an_evacuation_tells_one_that_knows_nothing() {
+fn node_is_newer_than_one_with_an_older_and_different_set() {
     let mut node = Evacuations::default();
     assert!(!node.is_newer_than(None));
-    node.apply(NOW, told(1, 5, &[]));
+    node.apply(NOW, evacuated(1, 5, &[]));
     assert!(!node.is_newer_than(None));
-    node.apply(NOW, told(1, 6, &["a"]));
+    node.apply(NOW, evacuated(1, 6, &["a"]));
     assert!(node.is_newer_than(None));
-    assert!(node.is_newer_than(Some(&told(1, 5, &[]))));
-    assert!(!node.is_newer_than(Some(&told(1, 7, &[]))));
-    assert!(!node.is_newer_than(Some(&told(1, 5, &["a"]))));
+    assert!(node.is_newer_than(Some(&evacuated(1, 5, &[]))));
+    assert!(!node.is_newer_than(Some(&evacuated(1, 7, &[]))));
+    assert!(!node.is_newer_than(Some(&evacuated(1, 5, &["a"]))));
 }
 
 #[test]
-fn what_a_return_of_the_store_has_lost_holds_until_operators_can_have_written_it_again() {
+fn evacuation_lost_by_a_restore_stays_in_effect_for_the_grace_period() {
     let mut node = Evacuations::default();
-    node.apply(NOW, told(1, 90, &["a", "b"]));
-    node.apply(NOW, told(2, 40, &["b"]));
+    node.apply(NOW, evacuated(1, 90, &["a", "b"]));
+    node.apply(NOW, evacuated(2, 40, &["b"]));
     assert!(node.is_evacuated(NOW, &"a".into()));
     assert_eq!(node.halls(NOW), halls(&["a", "b"]));
     let later = NOW + RESTORE_GRACE_US;
@@ -74,50 +74,50 @@
 }
 
 #[test]
-fn a_hall_that_is_taken_back_after_a_return_is_open_at_once() {
+fn evacuation_lifted_after_a_restore_ends_immediately() {
     let mut node = Evacuations::default();
-    node.apply(NOW, told(1, 90, &["a"]));
-    node.apply(NOW, told(2, 40, &[]));
-    node.apply_changes(NOW, place(2, 44), ["a".into()], &[]);
-    node.apply_changes(NOW, place(2, 45), [], &["a".into()]);
+    node.apply(NOW, evacuated(1, 90, &["a"]));
+    node.apply(NOW, evacuated(2, 40, &[]));
+    node.apply_changes(NOW, position(2, 44), ["a".into()], &[]);
+    node.apply_changes(NOW, position(2, 45), [], &["a".into()]);
     assert!(!node.is_evacuated(NOW, &"a".into()));
 }
 
 #[test]
-fn who_is_told_that_a_hall_was_taken_back_after_a_return_opens_it_as_well() {
+fn notice_of_a_lifted_evacuation_after_a_restore_ends_it() {
     let mut node = Evacuations::default();
-    node.apply(NOW, told(1, 90, &["a"]));
-    node.apply(NOW, told(2, 40, &[]));
+    node.apply(NOW, evacuated(1, 90, &["a"]));
+    node.apply(NOW, evacuated(2, 40, &[]));
     assert!(
-        !node.apply(NOW, told(2, 44, &["a"])),
-        "it was covered before"
+        !node.apply(NOW, evacuated(2, 44, &["a"])),
+        "the hall was evacuated already"
     );
-    assert!(node.apply(NOW, told(2, 45, &[])));
+    assert!(node.apply(NOW, evacuated(2, 45, &[])));
     assert!(!node.is_evacuated(NOW, &"a".into()));
 }
 
 proptest! {
-    /// The store's history is drawn, and what nodes tell of it comes late, doubled and in any order.
+    /// The store's history is random, and notices about it arrive late, repeatedly and in any order.
     #[test]
-    fn nodes_that_heard_the_same_newest_word_agree(
+    fn newest_notice_decides_for_any_order_of_notices(
         history in proptest::collection::vec(proptest::collection::btree_set(0..4u8, 0..4), 1..12),
         order in proptest::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
-        let words: Vec<Evacuated> = history
+        let notices: Vec<Evacuated> = history
             .iter()
             .enumerate()
             .map(|(i, set)| Evacuated {
-                as_of: place(1, i as u64 + 1),
+                as_of: position(1, i as u64 + 1),
                 halls: set.iter().map(|hall| Name::from(format!("hall-{hall}"))).collect(),
             })
             .collect();
         let mut node = Evacuations::default();
         let mut newest: Option<usize> = None;
         for index in order {
-            let i = index.index(words.len());
-            node.apply(NOW, words[i].clone());
+            let i = index.index(notices.len());
+            node.apply(NOW, notices[i].clone());
             newest = newest.max(Some(i));
-            let expected = newest.map(|i| words[i].halls.clone()).unwrap_or_default();
+            let expected = newest.map(|i| notices[i].halls.clone()).unwrap_or_default();
             prop_assert_eq!(node.halls(NOW), expected);
         }
     }
--- a/components/returning/src/lib.rs
+++ b/components/returning/src/lib.rs
@@ -1,44 +1,44 @@
-//! Callers that come back after a refusal.
+//! Recognises callers that try again after a refusal.
 //!
-//! Answers the load in which a service is short of capacity for seconds: callers that were refused come back when their
-//! objective has nearly passed or has passed, and take slots from requests that could still be answered in time. A second
-//! try carries a new identity, so it is recognised by what does not change between two tries of one caller: the request
-//! itself and the moment at which the caller gives up.
+//! When a service is short of capacity for seconds, callers that were refused try again when their
+//! objective has passed or nearly passed, and would take slots from requests that can still be answered
+//! in time. A second try has a new request ID, so it is recognised by what stays the same between two
+//! tries of one caller: the request itself, and the time at which the caller gives up.
 
 use names::{Moment, MILLISECOND};
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Two tries of one caller name the same deadline within this time, in microseconds: the deadline is passed on in whole
-/// milliseconds, and each try spends some on the way.
+/// Maximum difference between the deadlines of two tries of one caller, in microseconds. Deadlines are
+/// transmitted in whole milliseconds, and each try spends some time in transit.
 pub const DEADLINE_TOLERANCE_US: u64 = 60 * MILLISECOND;
-/// Refused requests that are remembered at most. An entry takes about 70 bytes.
+/// Maximum number of refused requests that are remembered. An entry takes about 70 bytes.
 pub const MAX_REMEMBERED: usize = 4_096;
 
-/// A caller's request that was refused.
+/// A refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Refused {
-    /// When its first try came.
+    /// When its first try arrived.
     first_try: Moment,
     /// When the caller gives up.
     deadline: Moment,
 }
 
 impl Refused {
-    /// Whether it was of the caller that gives up at `deadline`.
-    fn is_of(&self, deadline: Moment) -> bool {
+    /// Whether it belongs to a caller that gives up at `deadline`.
+    fn matches(&self, deadline: Moment) -> bool {
         deadline.0.abs_diff(self.deadline.0) <= DEADLINE_TOLERANCE_US
     }
 }
 
-/// Requests that this node has refused and whose callers may come back. `K` identifies a request by its content.
+/// Refused requests of one node whose callers may try again. `K` identifies a request by its content.
 #[derive(Debug)]
 pub struct CallerRetries<K> {
-    /// Several callers may have sent equal requests.
+    /// One entry per caller: several callers may have sent equal requests.
     refused: HashMap<K, Vec<Refused>>,
-    /// Refused requests in all.
+    /// Total number of entries.
     remembered: usize,
-    /// When the earliest deadline passes, at which entries are dropped next.
+    /// The earliest deadline, when entries expire next.
     next_expiry: Moment,
 }
 
@@ -53,25 +53,27 @@
 }
 
 impl<K: Hash + Eq> CallerRetries<K> {
-    /// When the caller of this request first tried, if it was refused before. `deadline` is when the caller gives up.
+    /// When the caller of this request first tried, if it was refused before. `deadline` is when the
+    /// caller gives up.
     pub fn first_try(&self, now: Moment, request: &K, deadline: Moment) -> Option<Moment> {
         let refused = self.refused.get(request)?;
-        let mut alive = refused.iter().filter(|refused| now < refused.deadline);
-        let same = alive.find(|refused| refused.is_of(deadline));
-        same.map(|refused| refused.first_try)
+        let mut unexpired = refused.iter().filter(|refused| now < refused.deadline);
+        let matching = unexpired.find(|refused| refused.matches(deadline));
+        matching.map(|refused| refused.first_try)
     }
 
-    /// Takes in that a request was refused whose caller first tried at `first_try` and gives up at `deadline`. Beyond
-    /// [`MAX_REMEMBERED`] it is not remembered: its next try counts as a first one.
+    /// Records that a request was refused whose caller first tried at `first_try` and gives up at
+    /// `deadline`. When the table is full, it is not remembered, and its next try counts as the first.
     pub fn record_refusal(&mut self, now: Moment, request: K, first_try: Moment, deadline: Moment) {
         self.expire(now);
         if deadline <= now {
             return;
         }
         let known = self.refused.get_mut(&request);
-        let same = known.and_then(|known| known.iter_mut().find(|known| known.is_of(deadline)));
-        if let Some(same) = same {
-            same.first_try = first_try;
+        let matching =
+            known.and_then(|known| known.iter_mut().find(|known| known.matches(deadline)));
+        if let Some(matching) = matching {
+            matching.first_try = first_try;
             return;
         }
         if self.remembered >= MAX_REMEMBERED {
@@ -85,17 +87,16 @@
         });
     }
 
-    /// Number of refused requests that are remembered.
+    /// Number of remembered refused requests.
     pub fn len(&self) -> usize {
         self.remembered
     }
 
-    /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
         self.remembered == 0
     }
 
-    /// Drops requests whose callers have given up.
+    /// Drops entries whose callers have given up.
     fn expire(&mut self, now: Moment) {
         if now < self.next_expiry {
             return;
