--- a/components/notices/src/lib.rs
+++ b/components/notices/src/lib.rs
@@ -1,7 +1,8 @@
-//! What an upstream says of itself in the headers of an answer: how many requests it takes, and that it leaves.
+//! Notices that an upstream sends in the headers of its answers: its request limit, and that it is
+//! draining.
 //!
-//! An upstream may send anything. A value that can't be read is a [`Problem`] for a log line and changes nothing that is
-//! known of the upstream.
+//! An upstream may send anything. An invalid value is reported as a [`Problem`], to be logged, and leaves
+//! the known state of the upstream unchanged.
 
 mod rate;
 mod read;
--- a/components/notices/src/read.rs
+++ b/components/notices/src/read.rs
@@ -1,51 +1,50 @@
-//! Reads the headers.
+//! Parses the notices in the headers of an answer.
 
 use crate::rate::RequestRate;
 use std::fmt;
 
-/// The value by which an upstream says that it leaves.
-const LEAVES: &str = "1";
-/// Part of a value that a problem shows, in characters.
-const SHOWN: usize = 40;
+/// Value of the header by which an upstream reports that it is draining.
+const DRAINING: &str = "1";
+/// Maximum length of the value in a problem, in characters.
+const MAX_SHOWN_CHARS: usize = 40;
 
-/// Names of the headers; none where upstreams say nothing of the kind.
+/// Names of the headers. None if upstreams do not send such a notice.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HeaderNames<'a> {
-    /// Requests a second that the upstream takes from all nodes together, as a decimal number.
+    /// Requests per second that the upstream accepts from all nodes together, as a decimal number.
     pub request_limit: Option<&'a str>,
-    /// Says that the upstream leaves.
+    /// Reports that the upstream is draining.
     pub leaving: Option<&'a str>,
 }
 
-/// What an answer says of how many requests its upstream takes.
+/// The request limit that an answer advertises.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RateNotice {
-    /// Nothing.
+    /// The answer has no such header.
     #[default]
     None,
-    /// So many.
     Limit(RequestRate),
-    /// Something that can't be read.
+    /// The header has no valid value.
     Unreadable,
 }
 
-/// What an answer says of its upstream.
+/// Notices in the headers of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Notice {
-    /// How many requests it takes.
+    /// The request limit of the upstream.
     pub rate: RateNotice,
-    /// Whether it leaves.
+    /// Whether the upstream is draining.
     pub leaving: bool,
 }
 
-/// A header that does not say what it should.
+/// A problem with a header, such as an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The header.
+    /// Name of the header.
     pub header: String,
-    /// Its value, or the first characters of it.
+    /// Its value, truncated if it is long.
     pub value: String,
-    /// What is wrong.
+    /// What is wrong with it.
     pub cause: &'static str,
 }
 
@@ -55,7 +54,7 @@
     }
 }
 
-/// Reads what an answer with these headers says, and what of it can't be read.
+/// Parses the notices in the headers of an answer, and reports invalid values.
 pub fn read(headers: &[(String, String)], names: &HeaderNames<'_>) -> (Notice, Vec<Problem>) {
     let mut problems = Vec::new();
     let notice = Notice {
@@ -65,7 +64,8 @@
     (notice, problems)
 }
 
-/// Of several limits the least holds: whichever was meant, the upstream gets no more than it takes.
+/// Of several limits the lowest applies: whichever is the right one, the upstream gets no more than it
+/// accepts.
 fn request_limit(
     headers: &[(String, String)],
     name: Option<&str>,
@@ -75,19 +75,21 @@
         return RateNotice::None;
     };
     let values = values(headers, name, problems);
-    let mut least = None;
+    let mut lowest = None;
     for value in &values {
         match RequestRate::parse(value) {
-            Some(rate) => least = Some(least.map_or(rate, |least: RequestRate| least.min(rate))),
+            Some(rate) => {
+                lowest = Some(lowest.map_or(rate, |lowest: RequestRate| lowest.min(rate)))
+            }
             None => problems.push(problem(
                 name,
                 value,
-                "not a decimal number of requests a second",
+                "not a decimal number of requests per second",
             )),
         }
     }
-    match least {
-        Some(least) => RateNotice::Limit(least),
+    match lowest {
+        Some(lowest) => RateNotice::Limit(lowest),
         None if values.is_empty() => RateNotice::None,
         None => RateNotice::Unreadable,
     }
@@ -98,10 +100,10 @@
         return false;
     };
     let values = values(headers, name, problems);
-    for value in values.iter().filter(|value| **value != LEAVES) {
-        problems.push(problem(name, value, "only 1 is known"));
+    for value in values.iter().filter(|value| **value != DRAINING) {
+        problems.push(problem(name, value, "the only valid value is 1"));
     }
-    values.contains(&LEAVES)
+    values.contains(&DRAINING)
 }
 
 /// All values of a header.
@@ -124,7 +126,7 @@
 fn problem(header: &str, value: &str, cause: &'static str) -> Problem {
     Problem {
         header: header.to_string(),
-        value: value.chars().take(SHOWN).collect(),
+        value: value.chars().take(MAX_SHOWN_CHARS).collect(),
         cause,
     }
 }
--- a/components/notices/tests/read.rs
+++ b/components/notices/tests/read.rs
@@ -1,4 +1,4 @@
-//! What answers say of their upstream, and what can't be read.
+//! Parsing of notices in answers, with valid and invalid values.
 
 use notices::{read, HeaderNames, Notice, RateNotice, RequestRate};
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
     pairs.iter().map(owned).collect()
 }
 
-/// One line: what was read, then the problems.
+/// One line: the notices, then the problems.
 fn line(pairs: &[(&str, &str)]) -> String {
     let (notice, problems) = read(&headers(pairs), &NAMES);
     let rate = match notice.rate {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn values_that_are_no_limit_change_nothing_and_are_problems() {
+fn invalid_values_are_problems_and_have_no_effect() {
     let long = "9".repeat(400);
     let lines = [
         line(&[]),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn headers_without_a_name_in_the_settings_say_nothing() {
+fn headers_not_named_in_the_settings_are_ignored() {
     let headers = headers(&[("Most", "2"), ("Leaves", "1")]);
     let (notice, problems) = read(&headers, &HeaderNames::default());
     assert_eq!(notice, Notice::default());
@@ -73,22 +73,22 @@
 
 proptest! {
     #[test]
-    fn any_value_is_read_or_a_problem(value in ".{0,60}", other in ".{0,60}") {
+    fn any_value_is_valid_or_a_problem(value in ".{0,60}", other in ".{0,60}") {
         let headers = headers(&[("Most", &value), ("Leaves", &other)]);
         let (notice, problems) = read(&headers, &NAMES);
-        let is_read = matches!(notice.rate, RateNotice::Limit(_));
-        prop_assert_eq!(is_read, !problems.iter().any(|problem| problem.header == "Most"));
+        let is_valid = matches!(notice.rate, RateNotice::Limit(_));
+        prop_assert_eq!(is_valid, !problems.iter().any(|problem| problem.header == "Most"));
         prop_assert_eq!(notice.leaving, !problems.iter().any(|problem| problem.header == "Leaves"));
     }
 
     #[test]
-    fn a_decimal_number_is_read_down_to_thousandths(milli in 0u64..10_000_000) {
+    fn decimal_numbers_are_parsed_to_thousandths(milli in 0u64..10_000_000) {
         let text = format!("{}.{:03}", milli / 1_000, milli % 1_000);
         prop_assert_eq!(RequestRate::parse(&text), Some(RequestRate::from_milli(milli)));
     }
 
     #[test]
-    fn the_time_of_a_count_is_the_shortest_in_which_the_rate_makes_it(milli in 1u64..10_000_000, count in 1u64..1_000) {
+    fn time_for_a_count_is_the_shortest_that_suffices(milli in 1u64..10_000_000, count in 1u64..1_000) {
         let rate = RequestRate::from_milli(milli);
         let us = rate.time_for_us(count);
         prop_assert!(rate.requests_in_us(us) >= count);
