--- a/components/declarations/src/bundle.rs
+++ b/components/declarations/src/bundle.rs
@@ -1,23 +1,23 @@
-//! The files of one set of declarations.
+//! The files of a set of declarations.
 
 use errors::{Error, Result, Step};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Name of the file that declares services, groups and halls.
+/// Name of the file with all declarations except policies and their examples.
 pub const SERVICES_FILE: &str = "services.ini";
-/// Largest set of declarations, in bytes over all files.
+/// Maximum size of a set of declarations, in bytes over all files.
 pub const MAX_BUNDLE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Contents of the files by name.
+/// The files of a set of declarations, as text.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Bundle {
-    /// Text of each file by its name within the directory.
+    /// File contents by file name.
     pub files: BTreeMap<String, String>,
 }
 
 impl Bundle {
-    /// Reads `services.ini` and every `.rhai` and `.ini` file of a directory.
+    /// Reads every `.ini` and `.rhai` file of a directory, not of its subdirectories.
     pub fn read(dir: &Path) -> Result<Bundle> {
         let fail = |error| Error::new(Step::Declarations, dir.display(), error);
         let mut files = BTreeMap::new();
@@ -36,7 +36,7 @@
             files.insert(name.to_string(), text);
         }
         if size > MAX_BUNDLE_BYTES {
-            let cause = format!("{size} bytes; a set has at most {MAX_BUNDLE_BYTES}");
+            let cause = format!("{size} bytes in all files; the maximum is {MAX_BUNDLE_BYTES}");
             return Err(Error::new(Step::Declarations, dir.display(), cause));
         }
         Ok(Bundle { files })
--- a/components/declarations/src/check.rs
+++ b/components/declarations/src/check.rs
@@ -1,4 +1,4 @@
-//! The check of a whole set of declarations.
+//! Check of a complete set of declarations.
 
 use crate::bundle::{Bundle, SERVICES_FILE};
 use crate::check_accounts;
@@ -12,11 +12,11 @@
 use sections::Reader;
 use std::collections::HashSet;
 
-/// Most measuring budget that may be set for a hall, in either unit.
-const MOST_BUDGET: f64 = 1e9;
+/// Maximum measuring budget of a data hall, in messages or in microseconds of slot time per second.
+const MAX_BUDGET: f64 = 1e9;
 
-/// Kinds of sections.
-const SECTIONS: [&str; 7] = [
+/// Kinds of sections in `services.ini`.
+const SECTION_KINDS: [&str; 7] = [
     "service",
     "group",
     "hall",
@@ -26,7 +26,7 @@
     "account",
 ];
 
-/// Checks `bundle` and returns its declarations, or every problem found in any file.
+/// Checks all files of `bundle` and returns its declarations, or all problems found.
 pub fn check(bundle: &Bundle) -> Result<Declarations, Problems> {
     let Some(text) = bundle.files.get(SERVICES_FILE) else {
         return Err(Problems(vec![Problem {
@@ -49,7 +49,7 @@
     declarations
         .prefixes
         .sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
-    if let Err(found) = reader.finish(&SECTIONS) {
+    if let Err(found) = reader.finish(&SECTION_KINDS) {
         problems.splice(0..0, found.0);
     }
     if problems.is_empty() {
@@ -70,7 +70,7 @@
         let mut seen = HashSet::new();
         for vm in &upstreams {
             if !seen.insert(vm.clone()) {
-                reader.problem(&section, "upstreams", vm.as_str(), "named twice");
+                reader.problem(&section, "upstreams", vm.as_str(), "listed twice");
             }
         }
         let name = Name::from(name);
@@ -84,8 +84,8 @@
 
 fn read_halls(reader: &mut Reader, declarations: &mut Declarations) {
     for (section, name) in reader.sections_of_kind("hall") {
-        let messages_per_s = budget(reader, &section, "measuring_messages_per_s");
-        let slot_us_per_s = budget(reader, &section, "measuring_slot_us_per_s");
+        let messages_per_s = read_budget(reader, &section, "measuring_messages_per_s");
+        let slot_us_per_s = read_budget(reader, &section, "measuring_slot_us_per_s");
         let measuring = MeasuringBudget {
             messages_per_s,
             slot_us_per_s,
@@ -94,10 +94,10 @@
     }
 }
 
-fn budget(reader: &mut Reader, section: &str, key: &str) -> f64 {
+fn read_budget(reader: &mut Reader, section: &str, key: &str) -> f64 {
     let allowed = "a number from 0 to 1000000000";
     let value: f64 = reader.value_or(section, key, allowed, 0.0);
-    if !(0.0..=MOST_BUDGET).contains(&value) {
+    if !(0.0..=MAX_BUDGET).contains(&value) {
         reader.problem(
             section,
             key,
@@ -132,8 +132,8 @@
     problems: &mut Vec<Problem>,
 ) -> Option<Service> {
     let name = Name::from(name);
-    read_routes(reader, declarations, section, &name);
-    let inputs = lower_words(reader.text(section, "inputs"));
+    read_host_and_path(reader, declarations, section, &name);
+    let inputs = lower_case_words(reader.text(section, "inputs"));
     let drain_header = reader.text(section, "drain_header");
     let shed_header = reader.text(section, "shed_header");
     let open = reader.value_or(section, "open", "true or false", false);
@@ -150,14 +150,14 @@
     })
 }
 
-fn lower_words(text: Option<String>) -> Vec<String> {
+fn lower_case_words(text: Option<String>) -> Vec<String> {
     text.unwrap_or_default()
         .split_whitespace()
         .map(str::to_lowercase)
         .collect()
 }
 
-fn read_routes(
+fn read_host_and_path(
     reader: &mut Reader,
     declarations: &mut Declarations,
     section: &str,
@@ -206,7 +206,7 @@
         return Some(group);
     }
     let known: Vec<&str> = declarations.groups.keys().map(Name::as_str).collect();
-    let allowed = format!("no such group; known are {}", known.join(", "));
+    let allowed = format!("no such group; known groups: {}", known.join(", "));
     reader.problem(section, "group", group.as_str(), &allowed);
     None
 }
@@ -220,10 +220,15 @@
     let file = reader.required(
         section,
         "policy",
-        "the name of a .rhai file beside this one",
+        "the name of a .rhai file in the same directory",
     )?;
     let Some(source) = bundle.files.get(&file) else {
-        reader.problem(section, "policy", &file, "no such file beside this one");
+        reader.problem(
+            section,
+            "policy",
+            &file,
+            "no such file in the same directory",
+        );
         return None;
     };
     let policy = match Policy::compile(&file, source) {
@@ -238,7 +243,8 @@
     Some(policy)
 }
 
-/// Evaluates the policy on a plain request, so that one that always fails is found here.
+/// Evaluates the policy on `GET /` without headers, so that a policy that always fails is rejected
+/// by the check.
 fn dry_run(file: &str, policy: &Policy, problems: &mut Vec<Problem>) {
     let input = Input {
         method: "GET".to_string(),
@@ -258,11 +264,11 @@
 }
 
 fn run_examples(bundle: &Bundle, file: &str, policy: &Policy, problems: &mut Vec<Problem>) {
-    let beside = file.replace(".rhai", ".examples.ini");
-    let Some(text) = bundle.files.get(&beside) else {
+    let examples_file = file.replace(".rhai", ".examples.ini");
+    let Some(text) = bundle.files.get(&examples_file) else {
         return;
     };
-    if let Err(found) = examples::run(&beside, text, policy) {
+    if let Err(found) = examples::run(&examples_file, text, policy) {
         problems.extend(found.0);
     }
 }
--- a/components/declarations/src/check_accounts.rs
+++ b/components/declarations/src/check_accounts.rs
@@ -1,4 +1,4 @@
-//! The check of client accounts.
+//! Check of client accounts.
 
 use crate::model::Declarations;
 use accounts::{Account, DuplicateKey, KeyDigest, Limit, MAX_PRIORITY};
@@ -6,10 +6,10 @@
 use sections::Reader;
 use std::sync::Arc;
 
-/// Highest rate or burst that may be set.
-const MOST_REQUESTS: u64 = 1_000_000_000;
-const KEYS: &str = "digests of keys, each the first 32 digits of the SHA-256 in hexadecimal";
-/// Stands for what is not to be shown.
+/// Maximum rate and burst of an account.
+const MAX_REQUESTS: u64 = 1_000_000_000;
+const KEYS: &str = "digests of keys, each the first 32 hexadecimal digits of the SHA-256";
+/// Printed in place of a value that may contain a key.
 const HIDDEN: &str = "(hidden)";
 
 pub(crate) fn read(reader: &mut Reader, declarations: &mut Declarations) {
@@ -21,10 +21,10 @@
 }
 
 fn read_account(reader: &mut Reader, section: &str, name: &str) -> Account {
-    let most = u64::from(MAX_PRIORITY);
-    let priority = reader.number_or(section, "priority", 0..=most, 0) as u8;
-    let requests_per_s = reader.number_or(section, "requests_per_s", 0..=MOST_REQUESTS, 0) as u32;
-    let burst = reader.number_or(section, "burst", 0..=MOST_REQUESTS, 0) as u32;
+    let max_priority = u64::from(MAX_PRIORITY);
+    let priority = reader.number_or(section, "priority", 0..=max_priority, 0) as u8;
+    let requests_per_s = reader.number_or(section, "requests_per_s", 0..=MAX_REQUESTS, 0) as u32;
+    let burst = reader.number_or(section, "burst", 0..=MAX_REQUESTS, 0) as u32;
     let limit = Limit {
         requests_per_s,
         burst,
@@ -36,7 +36,8 @@
     }
 }
 
-/// An account may have lost all its keys, and lets nobody in then.
+/// The list of keys may be empty, as after the withdrawal of an account's last key. No request can
+/// use the account then.
 fn read_keys(
     reader: &mut Reader,
     declarations: &mut Declarations,
@@ -49,12 +50,12 @@
     };
     for word in text.split_whitespace() {
         let Ok(digest) = word.parse::<KeyDigest>() else {
-            // Somebody may have written the key itself.
-            reader.problem(section, "keys", HIDDEN, &format!("each must be {KEYS}"));
+            // The word may be the key itself instead of its digest.
+            reader.problem(section, "keys", HIDDEN, &format!("must be {KEYS}"));
             continue;
         };
         if let Err(DuplicateKey { holder }) = declarations.accounts.assign_key(digest, account) {
-            let allowed = format!("a key is held already by account {holder}");
+            let allowed = format!("a key is already assigned to account {holder}");
             reader.problem(section, "keys", HIDDEN, &allowed);
         }
     }
--- a/components/declarations/src/check_routes.rs
+++ b/components/declarations/src/check_routes.rs
@@ -1,4 +1,4 @@
-//! The check of routes, registered services and limits.
+//! Check of routes, registered services and limits on callers.
 
 use crate::first::first_occurrences;
 use crate::model::Declarations;
@@ -7,16 +7,16 @@
 use policy::Treatment;
 use sections::Reader;
 
-/// Longest time that may be set, in milliseconds.
-pub(crate) const MOST_MS: u64 = 86_400_000;
-/// Largest head that may be set, in bytes.
-const MOST_HEADER_BYTES: u64 = 1024 * 1024;
-/// Largest body that may be set, in bytes.
-const MOST_BODY_BYTES: u64 = 1 << 40;
-/// Most upstreams that one request may be sent to.
-pub(crate) const MOST_ATTEMPTS: u64 = 100;
-/// Most requests a second that may be set for a cold upstream.
-const MOST_COLD_STARTS: u64 = 1_000_000;
+/// Maximum of every declared time, in milliseconds: one day.
+pub(crate) const MAX_MS: u64 = 86_400_000;
+/// Maximum of the declared size of a request head, in bytes.
+const MAX_HEADER_BYTES: u64 = 1024 * 1024;
+/// Maximum of the declared size of a request body, in bytes.
+const MAX_BODY_BYTES: u64 = 1 << 40;
+/// Maximum of the declared number of attempts for one request.
+pub(crate) const MAX_ATTEMPTS: u64 = 100;
+/// Maximum of the declared rate for a cold upstream, in request starts per second.
+const MAX_COLD_STARTS: u64 = 1_000_000;
 const SHARES: &str = "names of services, each with a weight, such as a:90 b:10";
 
 pub(crate) fn read(reader: &mut Reader, declarations: &mut Declarations) {
@@ -30,8 +30,9 @@
         let name = Name::from(name);
         let allowed = "the path of the health check";
         let health_path = reader.required(&section, "health_path", allowed);
-        let most = u64::from(u32::MAX);
-        let max_connections = reader.number_or(&section, "max_connections", 1..=most, 200) as u32;
+        let max_value = u64::from(u32::MAX);
+        let max_connections =
+            reader.number_or(&section, "max_connections", 1..=max_value, 200) as u32;
         let cold = read_cold(reader, &section);
         let Some(health_path) = health_path else {
             continue;
@@ -47,9 +48,9 @@
 }
 
 fn read_cold(reader: &mut Reader, section: &str) -> Option<ColdStart> {
-    let duration_ms = reader.number_or(section, "cold_ms", 0..=MOST_MS, 0);
+    let duration_ms = reader.number_or(section, "cold_ms", 0..=MAX_MS, 0);
     reader.text(section, "cold_starts_per_s")?;
-    let starts_per_s = reader.number_or(section, "cold_starts_per_s", 0..=MOST_COLD_STARTS, 0);
+    let starts_per_s = reader.number_or(section, "cold_starts_per_s", 0..=MAX_COLD_STARTS, 0);
     Some(ColdStart {
         starts_per_s: starts_per_s as u32,
         duration_ms,
@@ -57,17 +58,22 @@
 }
 
 fn read_routes(reader: &mut Reader, declarations: &mut Declarations) {
-    let mut read = Vec::new();
+    let mut routes = Vec::new();
     for (section, name) in reader.sections_of_kind("route") {
         if let Some(route) = read_route(reader, declarations, &section, &name) {
-            read.push((section, route));
+            routes.push((section, route));
         }
     }
-    let places = read.iter().map(|(_, route)| (&route.host, &route.path));
-    let firsts = first_occurrences(places);
-    for ((section, route), is_first) in read.into_iter().zip(firsts) {
+    let host_paths = routes.iter().map(|(_, route)| (&route.host, &route.path));
+    let are_first = first_occurrences(host_paths);
+    for ((section, route), is_first) in routes.into_iter().zip(are_first) {
         if !is_first {
-            reader.problem(&section, "path", &route.path, "the path of another route");
+            reader.problem(
+                &section,
+                "path",
+                &route.path,
+                "already the path of another route of this host",
+            );
             continue;
         }
         let routes = declarations.routes.entry(route.host.clone()).or_default();
@@ -88,10 +94,10 @@
     let path = reader.required(section, "path", "a prefix that begins with /");
     let shares = read_shares(reader, declarations, section);
     let repeatable = reader.value_or(section, "repeatable", "true or false", false);
-    let deadline_ms = reader.number_or(section, "deadline_ms", 1..=MOST_MS, 5_000);
-    let objective_ms = reader.number_or(section, "objective_ms", 1..=MOST_MS, deadline_ms);
+    let deadline_ms = reader.number_or(section, "deadline_ms", 1..=MAX_MS, 5_000);
+    let objective_ms = reader.number_or(section, "objective_ms", 1..=MAX_MS, deadline_ms);
     let priority = reader.number_or(section, "priority", 0..=9, 0) as u8;
-    let attempts = reader.number_or(section, "attempts", 1..=MOST_ATTEMPTS, 1) as u32;
+    let attempts = reader.number_or(section, "attempts", 1..=MAX_ATTEMPTS, 1) as u32;
     let open = reader.value_or(section, "open", "true or false", false);
     Some(Route {
         name: Name::from(name),
@@ -119,9 +125,9 @@
     let mut shares = Vec::new();
     for word in text.split_whitespace() {
         let (name, weight) = word.rsplit_once(':').unwrap_or((word, "1"));
-        let known = declarations.registered.contains_key(name);
+        let is_registered = declarations.registered.contains_key(name);
         match weight.parse() {
-            Ok(weight) if known => shares.push(Share {
+            Ok(weight) if is_registered => shares.push(Share {
                 service: Name::from(name),
                 weight,
             }),
@@ -137,11 +143,11 @@
         return;
     }
     let mut number =
-        |key: &str, most: u64, default: u64| reader.number_or("limits", key, 1..=most, default);
+        |key: &str, limit: u64, default: u64| reader.number_or("limits", key, 1..=limit, default);
     declarations.limits = Some(CallerLimits {
-        header_bytes: number("header_bytes", MOST_HEADER_BYTES, 8_000) as usize,
-        body_bytes: number("body_bytes", MOST_BODY_BYTES, 1 << 20) as usize,
-        header_ms: number("header_ms", MOST_MS, 30_000),
-        idle_ms: number("idle_ms", MOST_MS, 30_000),
+        header_bytes: number("header_bytes", MAX_HEADER_BYTES, 8_000) as usize,
+        body_bytes: number("body_bytes", MAX_BODY_BYTES, 1 << 20) as usize,
+        header_ms: number("header_ms", MAX_MS, 30_000),
+        idle_ms: number("idle_ms", MAX_MS, 30_000),
     });
 }
--- a/components/declarations/src/examples.rs
+++ b/components/declarations/src/examples.rs
@@ -1,10 +1,11 @@
-//! Operators' examples beside a policy: a request and the treatment it should get.
+//! Examples for a policy: requests with the treatment that each should get.
 
 use errors::Problems;
 use policy::{Input, Policy, Treatment};
 use sections::Reader;
 
-/// Runs every example of `file` against `policy`; a difference is a problem of the example.
+/// Evaluates `policy` on every example in `text`. A treatment that differs is reported as a problem
+/// of the example.
 pub(crate) fn run(file: &str, text: &str, policy: &Policy) -> Result<(), Problems> {
     let mut reader = Reader::new(file, text)?;
     for (section, _) in reader.sections_of_kind("example") {
@@ -14,7 +15,7 @@
 }
 
 fn run_one(reader: &mut Reader, section: &str, policy: &Policy) {
-    let Some(input) = input(reader, section) else {
+    let Some(input) = read_input(reader, section) else {
         return;
     };
     match policy.evaluate(&input) {
@@ -23,7 +24,7 @@
     }
 }
 
-fn input(reader: &mut Reader, section: &str) -> Option<Input> {
+fn read_input(reader: &mut Reader, section: &str) -> Option<Input> {
     let method = reader.required(section, "method", "an HTTP method")?;
     let path = reader.required(section, "path", "a path that begins with /")?;
     let headers = reader.text(section, "headers").unwrap_or_default();
@@ -49,7 +50,7 @@
 }
 
 fn compare(reader: &mut Reader, section: &str, treatment: &Treatment) {
-    let found = [
+    let actual = [
         ("expect.repeatable", treatment.repeatable.to_string()),
         ("expect.deadline_ms", treatment.deadline_ms.to_string()),
         ("expect.priority", treatment.priority.to_string()),
@@ -59,22 +60,22 @@
             treatment.refuse.clone().unwrap_or_default(),
         ),
     ];
-    let mut expected_any = false;
-    for (key, found) in found {
+    let mut has_expectation = false;
+    for (key, actual) in actual {
         let Some(expected) = reader.text(section, key) else {
             continue;
         };
-        expected_any = true;
-        if expected != found {
+        has_expectation = true;
+        if expected != actual {
             reader.problem(
                 section,
                 key,
                 &expected,
-                &format!("the policy gives {found:?}"),
+                &format!("the policy returns {actual:?}"),
             );
         }
     }
-    if !expected_any {
+    if !has_expectation {
         reader.problem(
             section,
             "",
--- a/components/declarations/src/lib.rs
+++ b/components/declarations/src/lib.rs
@@ -1,7 +1,8 @@
-//! Declarations of the operators: services, groups of upstreams, policies and measuring budgets.
+//! Declarations by operators: services, groups of upstreams, routes, client accounts, policies and
+//! measuring budgets.
 //!
-//! Declarations are a set of files: `services.ini`, the policies it names, and examples beside
-//! each policy. They are checked whole; the examples are run.
+//! A set of declarations is a directory: `services.ini`, the policies that it names, and optional
+//! examples for each policy. A check covers all files and runs the examples.
 
 mod bundle;
 mod check;
--- a/components/declarations/src/model.rs
+++ b/components/declarations/src/model.rs
@@ -1,4 +1,4 @@
-//! Checked declarations, ready for use.
+//! Declarations that have passed the check.
 
 use crate::route::{CallerLimits, RegisteredService, Route};
 use crate::steps::RouteSections;
@@ -8,35 +8,33 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// One service.
+/// A service with a declared group of upstreams and a policy.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
     pub name: Name,
-    /// Group of upstreams that serves it.
+    /// Group of upstreams that serves the requests.
     pub group: Name,
-    /// The policy that treats its requests.
+    /// Policy that decides how requests are treated.
     pub policy: Policy,
-    /// Headers that the policy may see, in lower case.
+    /// Request headers that are passed to the policy, in lower case.
     pub inputs: Vec<String>,
-    /// Response header by which an upstream says that it is leaving, in lower case.
+    /// Response header by which an upstream reports that it is draining, in lower case.
     pub drain_header: Option<String>,
-    /// Response header by which an upstream says that it did not start the request, in lower case.
+    /// Response header by which an upstream reports that it did not start the request, in lower
+    /// case.
     pub shed_header: Option<String>,
     /// Whether requests need no key of a client account.
     pub open: bool,
 }
 
-/// One group of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
-    /// Its name.
     pub name: Name,
-    /// The VMs, by their names in the platform's list.
+    /// VMs of the upstreams, by their names in the platform's list.
     pub upstreams: Vec<Name>,
 }
 
-/// What one hall may spend on measuring.
+/// Measuring budget of a data hall.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct MeasuringBudget {
     /// Messages per second.
@@ -52,26 +50,27 @@
     pub services: BTreeMap<Name, Service>,
     /// Groups by name.
     pub groups: BTreeMap<Name, Group>,
-    /// Measuring budgets by hall.
+    /// Measuring budgets by data hall.
     pub halls: BTreeMap<Name, MeasuringBudget>,
-    /// Services by the value of `Host`.
+    /// Services by host without port, in lower case.
     pub hosts: HashMap<String, Name>,
-    /// Services by path prefix, the longest first.
+    /// Services by path prefix, longest first.
     pub prefixes: Vec<(String, Name)>,
-    /// Services whose upstreams register themselves.
+    /// Services whose upstreams register with their local nodes.
     pub registered: BTreeMap<Name, RegisteredService>,
-    /// Routes by host, the longest path first.
+    /// Routes by host, longest path first.
     pub routes: HashMap<String, Vec<Arc<Route>>>,
-    /// The sections of these routes, for the check of the next set.
+    /// Source text of the routes, so that the check of the next set can reuse unchanged ones.
     pub route_sections: RouteSections,
-    /// Bounds on what callers send; none where the node's own settings hold.
+    /// Limits on requests of callers; `None`: the node's own limits apply.
     pub limits: Option<CallerLimits>,
-    /// Client accounts; where there are none, requests need no key.
+    /// Client accounts; if there are none, requests need no key.
     pub accounts: Accounts,
 }
 
 impl Declarations {
-    /// The service of a request, by its host without port, else by its path.
+    /// The service of a request: by its host without port if one is declared for it, else by the
+    /// longest matching path prefix.
     pub fn find_service(&self, host: &str, path: &str) -> Option<&Service> {
         let name = self
             .hosts
@@ -80,7 +79,7 @@
         self.services.get(name)
     }
 
-    /// The route with the longest path that begins `path`.
+    /// The route of `host` with the longest path that is a prefix of `path`.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.path))
@@ -101,7 +100,7 @@
     }
 }
 
-/// Whether `path` is `prefix` or lies below it.
+/// Whether `path` equals `prefix` or is below it.
 fn matches_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'))
--- a/components/declarations/src/plain.rs
+++ b/components/declarations/src/plain.rs
@@ -1,22 +1,24 @@
-//! Route sections that can be read without the INI reader.
+//! A parser for route sections in the plain form that programs write.
 //!
-//! The reader costs some 20 us a route (one core, release build, 1,500 routes), which was most of the time in which a node
-//! that had just started could serve nobody. A section in the plain form that programs write is read here instead. Only
-//! what the reader would surely take in the same way is plain: anything else, every problem included, is left to it.
+//! The INI reader takes about 20 us per route (one core, release build, 1,500 routes). That was
+//! most of the time for which a node could not serve requests after its start. A section is plain
+//! only if the INI reader is certain to read the same route from it. All other sections, those with
+//! problems included, are left to the INI reader.
 
-use crate::check_routes::{MOST_ATTEMPTS, MOST_MS};
+use crate::check_routes::{MAX_ATTEMPTS, MAX_MS};
 use crate::route::{Route, Share};
 use names::Name;
 use policy::Treatment;
 use std::ops::RangeInclusive;
 
-/// Beginning of a route's section.
-pub(crate) const ROUTE: &str = "[route ";
-/// Signs beside letters and digits that mean nothing to the INI reader within a value.
-const PLAIN_SIGNS: &[u8] = b"/._-:~%*,+@ ";
-const HIGHEST_PRIORITY: u64 = 9;
+/// Start of the heading of a route section.
+pub(crate) const ROUTE_HEADING: &str = "[route ";
+/// Characters besides letters and digits that have no special meaning to the INI reader within a
+/// value.
+const PLAIN_SYMBOLS: &[u8] = b"/._-:~%*,+@ ";
+const MAX_PRIORITY: u64 = 9;
 
-/// The values of a section by key, as they were written.
+/// Unparsed values of a section by key.
 #[derive(Default)]
 struct Values<'a> {
     host: Option<&'a str>,
@@ -31,7 +33,7 @@
 }
 
 impl<'a> Values<'a> {
-    fn of(lines: impl Iterator<Item = &'a str>) -> Option<Values<'a>> {
+    fn parse(lines: impl Iterator<Item = &'a str>) -> Option<Values<'a>> {
         let mut values = Values::default();
         for line in lines.filter(|line| !line.is_empty()) {
             let (key, value) = line.split_once('=')?;
@@ -39,7 +41,7 @@
             if value.is_empty() || !value.bytes().all(is_plain) {
                 return None;
             }
-            let place = match key.trim_end_matches(' ') {
+            let field = match key.trim_end_matches(' ') {
                 "host" => &mut values.host,
                 "path" => &mut values.path,
                 "services" => &mut values.services,
@@ -51,7 +53,7 @@
                 "open" => &mut values.open,
                 _ => return None,
             };
-            if place.replace(value).is_some() {
+            if field.replace(value).is_some() {
                 return None;
             }
         }
@@ -59,38 +61,38 @@
     }
 }
 
-/// The route of a plain section; none when the INI reader has to read it. Whether its services are declared is not
-/// looked at.
-pub(crate) fn route(section: &str) -> Option<Route> {
+/// Parses a plain section; `None`: the section is not plain, so the INI reader has to read it. Does
+/// not check whether the services are declared.
+pub(crate) fn parse_route(section: &str) -> Option<Route> {
     let (heading, rest) = section.split_once('\n')?;
-    let name = heading.strip_prefix(ROUTE)?.strip_suffix(']')?;
+    let name = heading.strip_prefix(ROUTE_HEADING)?.strip_suffix(']')?;
     if name.is_empty() || name.contains(' ') || !name.bytes().all(is_plain) {
         return None;
     }
-    let values = Values::of(rest.split('\n'))?;
-    let deadline_ms = number(values.deadline_ms, 1..=MOST_MS, 5_000)?;
+    let values = Values::parse(rest.split('\n'))?;
+    let deadline_ms = parse_number(values.deadline_ms, 1..=MAX_MS, 5_000)?;
     Some(Route {
         name: Name::from(name),
         host: values.host?.to_lowercase(),
         path: values.path?.to_string(),
-        shares: shares(values.services?)?,
+        shares: parse_shares(values.services?)?,
         treatment: Treatment {
-            repeatable: flag(values.repeatable)?,
+            repeatable: parse_bool(values.repeatable)?,
             deadline_ms,
-            priority: number(values.priority, 0..=HIGHEST_PRIORITY, 0)? as u8,
-            attempts: number(values.attempts, 1..=MOST_ATTEMPTS, 1)? as u32,
+            priority: parse_number(values.priority, 0..=MAX_PRIORITY, 0)? as u8,
+            attempts: parse_number(values.attempts, 1..=MAX_ATTEMPTS, 1)? as u32,
             refuse: None,
         },
-        objective_ms: number(values.objective_ms, 1..=MOST_MS, deadline_ms)?,
-        open: flag(values.open)?,
+        objective_ms: parse_number(values.objective_ms, 1..=MAX_MS, deadline_ms)?,
+        open: parse_bool(values.open)?,
     })
 }
 
 fn is_plain(byte: u8) -> bool {
-    byte.is_ascii_alphanumeric() || PLAIN_SIGNS.contains(&byte)
+    byte.is_ascii_alphanumeric() || PLAIN_SYMBOLS.contains(&byte)
 }
 
-fn number(text: Option<&str>, range: RangeInclusive<u64>, default: u64) -> Option<u64> {
+fn parse_number(text: Option<&str>, range: RangeInclusive<u64>, default: u64) -> Option<u64> {
     let Some(text) = text else {
         return Some(default);
     };
@@ -98,11 +100,11 @@
     number.filter(|number| range.contains(number))
 }
 
-fn flag(text: Option<&str>) -> Option<bool> {
+fn parse_bool(text: Option<&str>) -> Option<bool> {
     text.map_or(Some(false), |text| text.parse().ok())
 }
 
-fn shares(text: &str) -> Option<Vec<Share>> {
+fn parse_shares(text: &str) -> Option<Vec<Share>> {
     let share = |word: &str| {
         let (service, weight) = word.rsplit_once(':').unwrap_or((word, "1"));
         Some(Share {
--- a/components/declarations/src/steps.rs
+++ b/components/declarations/src/steps.rs
@@ -1,61 +1,64 @@
-//! The check of a set of declarations in steps, of which each holds the caller up for a short time only.
+//! Incremental check of a set of declarations, in steps that each block the caller only for a short
+//! time.
 //!
-//! A route's section that stands letter for letter in the set that was checked before is taken over; the
-//! others are checked a few at a time. Whatever could make them mean something else than in the whole leads
-//! to the check of the whole in one step, which also words all problems.
+//! Routes whose sections are byte for byte the same as in the previously checked set are reused.
+//! The other routes are checked a few at a time. If a section might be read differently on its own
+//! than within the complete file, or if any problem is found, the complete set is checked in one
+//! step. That check also reports all problems.
 
 use crate::bundle::{Bundle, SERVICES_FILE};
 use crate::check::check;
 use crate::first::first_occurrences;
 use crate::model::Declarations;
-use crate::plain::{self, ROUTE};
+use crate::plain::{self, ROUTE_HEADING};
 use crate::route::Route;
 use errors::Problems;
 use std::collections::{HashMap, HashSet};
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Routes that are checked in one step. Where the INI reader has to read them that takes about 1.2 ms on one core, by the
-/// 11 ms that 1,400 take there.
-const ROUTES_A_STEP: usize = 150;
+/// Number of routes checked in one step. With the INI reader a step takes about 1.2 ms on one core:
+/// 1,400 routes take 11 ms.
+const ROUTES_PER_STEP: usize = 150;
 
-/// Sections of routes, as they were written, with what they were read into.
+/// Route sections as written, without trailing whitespace, with the routes read from them.
 pub type RouteSections = HashMap<Box<str>, Arc<Route>>;
 
-/// A check under way.
+/// A check in progress.
 #[derive(Debug)]
 pub struct IncrementalCheck {
     bundle: Bundle,
-    /// None: the whole is checked in one step.
+    /// `None`: the complete set is checked in one step.
     parts: Option<Parts>,
     bytes_read: BytesRead,
 }
 
-/// What a check has read so far, in bytes.
+/// Number of bytes that a check has read so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct BytesRead {
-    /// By the INI reader.
+    /// Bytes read by the INI reader.
     pub ini_bytes: usize,
-    /// As plain sections of routes.
+    /// Bytes of plain route sections, which need no INI reader.
     pub plain_bytes: usize,
 }
 
-/// A set that is checked in parts.
+/// A set of declarations that is checked section by section.
 #[derive(Debug)]
 struct Parts {
-    /// All sections that are not routes.
+    /// Text of all sections that are not routes.
     common: String,
-    /// Where the sections of routes stand that are still to be checked, some in each part.
-    new: Vec<Vec<Range<usize>>>,
-    /// Routes that are checked.
+    /// Byte ranges of the route sections that are still to be checked, grouped by step.
+    pending: Vec<Vec<Range<usize>>>,
+    /// Routes that are reused or already checked.
     routes: RouteSections,
 }
 
 impl IncrementalCheck {
-    /// Begins the check of `bundle`. Routes that stand unchanged in the set that was checked `before` are
-    /// taken over: of 4,200 with one changed, 4.5 ms in place of 39 are spent (one core, median).
-    pub fn new(bundle: Bundle, before: Option<&Declarations>) -> IncrementalCheck {
-        let parts = parts(&bundle, before);
+    /// Starts the check of `bundle`. Routes whose sections are unchanged since the `previous` set
+    /// are reused: a check of 4,200 routes of which one has changed takes 4.5 ms instead of 39 (one
+    /// core, median).
+    pub fn new(bundle: Bundle, previous: Option<&Declarations>) -> IncrementalCheck {
+        let parts = split_bundle(&bundle, previous);
         let bytes_read = BytesRead::default();
         IncrementalCheck {
             bundle,
@@ -64,66 +67,70 @@
         }
     }
 
-    /// What was read so far.
     pub fn bytes_read(&self) -> BytesRead {
         self.bytes_read
     }
 
-    /// Goes on; the outcome once it is known.
+    /// Runs the next step; returns the outcome once it is known.
     pub fn step(&mut self) -> Option<Result<Declarations, Problems>> {
         let Some(parts) = &mut self.parts else {
-            return Some(self.check_whole());
+            return Some(self.check_full());
         };
-        let Some(sections) = parts.new.pop() else {
+        let Some(sections) = parts.pending.pop() else {
             self.bytes_read.ini_bytes += parts.common.len();
-            let declarations = parts.put_together();
-            return Some(declarations.map_or_else(|| self.check_whole(), Ok));
+            let declarations = parts.assemble();
+            return Some(declarations.map_or_else(|| self.check_full(), Ok));
         };
         let text = &self.bundle.files[SERVICES_FILE];
-        let mut others = String::new();
+        let mut not_plain = String::new();
         for section in sections.into_iter().map(|range| &text[range]) {
-            match plain::route(section) {
+            match plain::parse_route(section) {
                 Some(route) => {
                     self.bytes_read.plain_bytes += section.len();
                     parts
                         .routes
                         .insert(section.trim_end().into(), Arc::new(route));
                 }
-                None => others.push_str(section),
+                None => not_plain.push_str(section),
             }
         }
-        if others.is_empty() {
+        if not_plain.is_empty() {
             return None;
         }
-        let others = services_file(format!("{}{others}", parts.common));
-        self.bytes_read.ini_bytes += others.files[SERVICES_FILE].len();
-        match check(&others) {
+        let not_plain = services_file(format!("{}{not_plain}", parts.common));
+        self.bytes_read.ini_bytes += not_plain.files[SERVICES_FILE].len();
+        match check(&not_plain) {
             Ok(checked) => parts.routes.extend(checked.route_sections),
             Err(_) => self.parts = None,
         }
         None
     }
 
-    fn check_whole(&mut self) -> Result<Declarations, Problems> {
+    fn check_full(&mut self) -> Result<Declarations, Problems> {
         let text = self.bundle.files.get(SERVICES_FILE);
         self.bytes_read.ini_bytes += text.map_or(0, String::len);
         check(&self.bundle)
     }
 }
 
-/// Checks `bundle` like [`check`], and takes over what stands unchanged in the set that was checked `before`.
-pub fn check_incremental(bundle: Bundle, before: &Declarations) -> Result<Declarations, Problems> {
-    let mut steps = IncrementalCheck::new(bundle, Some(before));
+/// Checks `bundle` like [`check`], but reuses routes whose sections are unchanged since the
+/// `previous` set.
+pub fn check_incremental(
+    bundle: Bundle,
+    previous: &Declarations,
+) -> Result<Declarations, Problems> {
+    let mut incremental = IncrementalCheck::new(bundle, Some(previous));
     loop {
-        if let Some(checked) = steps.step() {
-            return checked;
+        if let Some(outcome) = incremental.step() {
+            return outcome;
         }
     }
 }
 
 impl Parts {
-    /// All declarations; none when the routes don't fit the rest or each other.
-    fn put_together(&mut self) -> Option<Declarations> {
+    /// Combines all sections; `None`: a problem in the common sections, a route to an unknown
+    /// service, or two routes of a host with the same path.
+    fn assemble(&mut self) -> Option<Declarations> {
         let mut declarations = check(&services_file(std::mem::take(&mut self.common))).ok()?;
         for route in self.routes.values() {
             let mut shares = route.shares.iter();
@@ -134,8 +141,8 @@
             routes.push(route.clone());
         }
         for routes in declarations.routes.values_mut() {
-            let firsts = first_occurrences(routes.iter().map(|route| &route.path));
-            if firsts.contains(&false) {
+            let are_first = first_occurrences(routes.iter().map(|route| &route.path));
+            if are_first.contains(&false) {
                 return None;
             }
             routes.sort_by_key(|route| std::cmp::Reverse(route.path.len()));
@@ -145,33 +152,34 @@
     }
 }
 
-/// The parts of a set that is one file with sections that can be told apart; none for any other.
-fn parts(bundle: &Bundle, before: Option<&Declarations>) -> Option<Parts> {
+/// Splits a set into sections, for a check in steps; `None`: the set has more than one file, or its
+/// sections can't be told apart with certainty.
+fn split_bundle(bundle: &Bundle, previous: Option<&Declarations>) -> Option<Parts> {
     let text = bundle.files.get(SERVICES_FILE)?;
     if bundle.files.len() > 1 {
         return None;
     }
     let mut common = String::new();
     let mut routes = RouteSections::default();
-    let mut new = Vec::new();
+    let mut pending = Vec::new();
     let mut at = 0;
-    for section in split(text)? {
+    for section in split_sections(text)? {
         let range = at..at + section.len();
         at = range.end;
-        let known =
-            before.and_then(|before| before.route_sections.get_key_value(section.trim_end()));
-        match known {
+        let unchanged =
+            previous.and_then(|previous| previous.route_sections.get_key_value(section.trim_end()));
+        match unchanged {
             Some((section, route)) => {
                 routes.insert(section.clone(), route.clone());
             }
-            None if section.starts_with(ROUTE) => new.push(range),
+            None if section.starts_with(ROUTE_HEADING) => pending.push(range),
             None => common.push_str(section),
         }
     }
-    let new = new.chunks(ROUTES_A_STEP).map(<[_]>::to_vec).collect();
+    let pending = pending.chunks(ROUTES_PER_STEP).map(<[_]>::to_vec).collect();
     Some(Parts {
         common,
-        new,
+        pending,
         routes,
     })
 }
@@ -182,9 +190,9 @@
     }
 }
 
-/// The sections of the routes in `text`.
+/// The route sections in `text`, with their routes from `declarations`.
 pub(crate) fn route_sections(text: &str, declarations: &Declarations) -> RouteSections {
-    let Some(sections) = split(text) else {
+    let Some(sections) = split_sections(text) else {
         return RouteSections::default();
     };
     let by_name: HashMap<&str, &Arc<Route>> = declarations
@@ -202,10 +210,13 @@
         .collect()
 }
 
-/// The sections of `text`, each with its heading; none when a section might begin elsewhere than at a line
-/// that begins with a bracket, or a heading stands twice.
-fn split(text: &str) -> Option<Vec<&str>> {
-    if text.contains(['"', '\'', '\\']) || has_lone_return(text) || !text.lines().all(is_whole) {
+/// Splits `text` into sections that include their headings. `None`: a section might start elsewhere
+/// than at a line that begins with a bracket, or a heading occurs twice.
+fn split_sections(text: &str) -> Option<Vec<&str>> {
+    if text.contains(['"', '\'', '\\'])
+        || has_lone_carriage_return(text)
+        || !text.lines().all(is_complete_line)
+    {
         return None;
     }
     let mut starts = vec![0];
@@ -216,25 +227,27 @@
         .map(|ends| &text[ends[0]..ends[1]])
         .collect();
     let mut headings = HashSet::with_capacity(sections.len());
-    let headings_differ = sections
+    let has_unique_headings = sections
         .iter()
         .all(|section| headings.insert(section.lines().next().unwrap_or("").trim_end()));
-    headings_differ.then_some(sections)
+    has_unique_headings.then_some(sections)
 }
 
-/// Whether a line ends with a carriage return alone, which the INI reader takes for the end of a line as well.
-fn has_lone_return(text: &str) -> bool {
+/// Whether a carriage return occurs without a line feed. The INI reader treats it as the end of a
+/// line.
+fn has_lone_carriage_return(text: &str) -> bool {
     let mut returns = text.match_indices('\r');
     returns.any(|(at, _)| !text[at + 1..].starts_with('\n'))
 }
 
-/// Whether a line says by itself what it is: a heading, a comment, a key with its value, or nothing. The INI reader joins
-/// others with what follows them, and takes a bracket behind blanks for a heading: a route below an indented heading was
-/// lost in the check in steps.
-fn is_whole(line: &str) -> bool {
+/// Whether a line is complete by itself: a heading, a comment, a key with its value, or an empty
+/// line. The INI reader joins any other line with the next one, and reads a bracket after leading
+/// blanks as a heading: without this check, a route below an indented heading was lost in the
+/// incremental check.
+fn is_complete_line(line: &str) -> bool {
     if let Some(rest) = line.strip_prefix('[') {
-        let ends = rest.split_once(']');
-        return !rest.contains('[') && ends.is_some_and(|(_, rest)| rest.trim().is_empty());
+        let closed = rest.split_once(']');
+        return !rest.contains('[') && closed.is_some_and(|(_, rest)| rest.trim().is_empty());
     }
     let text = line.trim_start();
     if text.is_empty() || text.starts_with([';', '#']) {
@@ -244,8 +257,8 @@
     key.is_some_and(|(key, _)| !key.contains('['))
 }
 
-/// The name in the heading of a route's section.
+/// The route's name from the heading of its section.
 fn route_name(section: &str) -> Option<&str> {
-    let (name, _) = section.strip_prefix(ROUTE)?.split_once(']')?;
+    let (name, _) = section.strip_prefix(ROUTE_HEADING)?.split_once(']')?;
     Some(name.trim())
 }
--- a/components/declarations/tests/declarations.rs
+++ b/components/declarations/tests/declarations.rs
@@ -1,4 +1,4 @@
-//! Declarations, good and bad.
+//! Checks of valid and invalid sets of declarations, with the texts of all problems.
 
 use declarations::{check, Bundle};
 use std::collections::BTreeMap;
@@ -31,15 +31,17 @@
 }
 
 fn problems(bundle: &Bundle) -> String {
-    check(bundle).expect_err("there are problems").to_string()
+    check(bundle)
+        .expect_err("the declarations have problems")
+        .to_string()
 }
 
 #[test]
-fn a_request_is_routed_by_host_then_by_the_longest_path() {
+fn request_is_routed_by_host_then_by_longest_path() {
     let services = format!(
         "{SERVICES}\n[service old]\ngroup = fast\npath = /prices/old\npolicy = prices.rhai\n"
     );
-    let found = check(&bundle(&services, POLICY, "")).expect("good declarations");
+    let found = check(&bundle(&services, POLICY, "")).expect("valid declarations");
     let route = |host, path| {
         found
             .find_service(host, path)
@@ -63,14 +65,14 @@
 }
 
 #[test]
-fn an_example_that_gets_another_treatment_is_a_problem_with_its_line() {
+fn failed_example_is_reported_with_its_line() {
     let examples = "[example look-up]\nmethod = GET\npath = /\nexpect.repeatable = true\n\
                     expect.priority = 4\n\n[example empty]\nmethod = GET\npath = /\n";
     insta::assert_snapshot!(problems(&bundle(SERVICES, POLICY, examples)));
 }
 
 #[test]
-fn a_policy_that_gives_back_anything_else_than_a_treatment_is_refused() {
+fn policy_that_returns_no_valid_treatment_is_rejected() {
     let mut found = Vec::new();
     for policy in [
         "42",
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn two_services_can_not_have_the_same_host() {
+fn two_services_cannot_have_the_same_host() {
     let services = format!(
         "{SERVICES}\n[service other]\ngroup = fast\nhost = Prices.example\npolicy = prices.rhai\n"
     );
@@ -103,18 +105,18 @@
 }
 
 #[test]
-fn a_set_without_services_is_refused() {
+fn set_without_services_file_is_rejected() {
     insta::assert_snapshot!(problems(&Bundle::default()));
 }
 
 #[test]
-fn the_examples_of_this_repository_pass() {
+fn example_declarations_of_the_repository_are_valid() {
     for name in ["windhoek", "anatolia"] {
         let dir = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../examples")
             .join(name);
-        let bundle = Bundle::read(&dir).expect("the examples can be read");
-        let found = check(&bundle).expect("no problems");
+        let bundle = Bundle::read(&dir).expect("readable example directory");
+        let found = check(&bundle).expect("valid example declarations");
         assert_eq!(found.services.len(), 4);
         let upstreams: usize = found
             .groups
@@ -152,15 +154,15 @@
 header_bytes = 4096
 ";
 
-fn routes(text: &str) -> Bundle {
+fn services_file(text: &str) -> Bundle {
     Bundle {
         files: BTreeMap::from([("services.ini".to_string(), text.to_string())]),
     }
 }
 
 #[test]
-fn the_route_with_the_longest_path_of_a_host_is_taken() {
-    let found = check(&routes(ROUTES)).expect("good declarations");
+fn request_gets_the_route_with_the_longest_matching_path() {
+    let found = check(&services_file(ROUTES)).expect("valid declarations");
     let name = |host, path| {
         let route = found.find_route(host, path);
         route.map(|route| route.name.to_string())
@@ -171,16 +173,17 @@
 }
 
 #[test]
-fn routes_to_unknown_services_or_with_equal_paths_are_refused() {
-    let bad = ROUTES
+fn routes_to_unknown_services_or_with_invalid_weights_are_rejected() {
+    // `split` has no valid service, so its path is not compared with the equal path of `rest`.
+    let invalid = ROUTES
         .replace("bids:90 prices:10", "bits:90 prices:many")
         .replace("path = /\n", "path = /bids/\n")
         .replace("services = prices\n", "services = bids\n");
-    insta::assert_snapshot!(problems(&routes(&bad)));
+    insta::assert_snapshot!(problems(&services_file(&invalid)));
 }
 
 #[test]
-fn accounts_with_problems_are_refused_without_showing_a_key() {
+fn invalid_accounts_are_rejected_without_showing_a_key() {
     let digest = "5f2b5cdbe5194f10b3241568fe4e2b24";
     let text = format!(
         "[account a]\nkeys = {digest} the-key-itself\npriority = 12\n\n\
@@ -188,7 +191,7 @@
     );
     let files = [("services.ini".to_string(), text)].into();
     let problems = check(&Bundle { files })
-        .expect_err("bad accounts")
+        .expect_err("invalid accounts")
         .to_string();
     assert!(!problems.contains("the-key-itself") && !problems.contains(digest));
     insta::assert_snapshot!(problems);
--- a/components/declarations/tests/plain.rs
+++ b/components/declarations/tests/plain.rs
@@ -1,8 +1,9 @@
-//! A large set is checked with little work, and with the outcome of the check of the whole by the INI reader.
+//! Tests that the incremental check of a large set reads little, and that its outcome is that of
+//! the full check by the INI reader.
 //!
-//! *Symptom.* Nodes that had all lost power had declarations in force only after 0.67 s, with a set of 1,500 routes on a
-//! tenth of a core. *Cause.* Each step of the check read all other sections anew, each route went through the INI reader,
-//! and the check of the whole compared the paths of a host pair by pair.
+//! After a power failure of all nodes, declarations came into force only after 0.67 s (1,500
+//! routes, a tenth of a core): each step of the check read all other sections again, each route
+//! went through the INI reader, and the full check compared the paths of a host pair by pair.
 
 use declarations::{
     check, first_occurrences, Bundle, BytesRead, Declarations, IncrementalCheck, SERVICES_FILE,
@@ -18,17 +19,17 @@
     Bundle { files }
 }
 
-fn in_steps(text: &str) -> (Result<Declarations, Problems>, BytesRead) {
-    let mut steps = IncrementalCheck::new(bundle(text), None);
+fn check_in_steps(text: &str) -> (Result<Declarations, Problems>, BytesRead) {
+    let mut incremental = IncrementalCheck::new(bundle(text), None);
     loop {
-        if let Some(checked) = steps.step() {
-            return (checked, steps.bytes_read());
+        if let Some(outcome) = incremental.step() {
+            return (outcome, incremental.bytes_read());
         }
     }
 }
 
-/// Everything that a set declares, as text.
-fn shown(declarations: &Declarations) -> String {
+/// The routes and registered services of a set, as text for comparison.
+fn to_text(declarations: &Declarations) -> String {
     let routes = declarations.routes.values().flatten();
     let routes: BTreeMap<_, _> = routes.map(|route| (route.name.clone(), route)).collect();
     let sections: BTreeMap<_, _> = declarations.route_sections.iter().collect();
@@ -36,9 +37,10 @@
     format!("{routes:#?}\n{sections:#?}\n{registered:#?}")
 }
 
-/// What stands behind a key: mostly what is good there, and now and then what may mean something to the INI reader.
-fn value(good: &'static [&'static str]) -> impl Strategy<Value = String> {
-    let odd = prop::sample::select(vec![
+/// A value: mostly a valid one of the key, sometimes one that may have a special meaning to the INI
+/// reader.
+fn value(valid: &'static [&'static str]) -> impl Strategy<Value = String> {
+    let special = prop::sample::select(vec![
         "",
         " ",
         "\"quoted\"",
@@ -61,14 +63,15 @@
         "\t1",
         "1\n 2",
     ]);
-    let good = prop::sample::select(good);
-    prop_oneof![24 => good.prop_map(String::from), 1 => odd.prop_map(String::from)]
+    let valid = prop::sample::select(valid);
+    prop_oneof![24 => valid.prop_map(String::from), 1 => special.prop_map(String::from)]
 }
 
 fn line() -> impl Strategy<Value = String> {
-    let key = |key: &'static str, good: &'static [&'static str]| {
-        let between = prop::sample::select(vec!["=", " = ", "= ", " =", ":", "  =  "]);
-        (between, value(good)).prop_map(move |(between, value)| format!("{key}{between}{value}\n"))
+    let key = |key: &'static str, valid: &'static [&'static str]| {
+        let separator = prop::sample::select(vec!["=", " = ", "= ", " =", ":", "  =  "]);
+        (separator, value(valid))
+            .prop_map(move |(separator, value)| format!("{key}{separator}{value}\n"))
     };
     prop_oneof![
         4 => key("repeatable", &["true", "false"]),
@@ -102,7 +105,7 @@
 }
 
 fn common() -> impl Strategy<Value = String> {
-    let odd = prop::sample::select(vec![
+    let extra = prop::sample::select(vec![
         "",
         "[limits]\nheader_bytes=1\n",
         "[registered s1]\nhealth_path=/again\n",
@@ -110,10 +113,10 @@
         "[unknown]\n",
         "[registered s5]\n",
     ]);
-    let odd = prop_oneof![6 => Just(""), 1 => odd];
-    odd.prop_map(|odd| {
+    let extra = prop_oneof![6 => Just(""), 1 => extra];
+    extra.prop_map(|extra| {
         let services = "[registered s1]\nhealth_path=/\n\n[registered s2]\nhealth_path=/h\n\n";
-        format!("{services}[registered s3]\nhealth_path=/\n\n{odd}\n")
+        format!("{services}[registered s3]\nhealth_path=/\n\n{extra}\n")
     })
 }
 
@@ -126,30 +129,37 @@
     })]
 
     #[test]
-    fn plain_sections_are_read_as_the_ini_reader_reads_them(
+    fn plain_sections_are_read_as_by_the_ini_reader(
         common in common(),
         routes in prop::collection::vec(route(), 0..8),
-        is_first in any::<bool>(),
+        routes_first in any::<bool>(),
     ) {
         let routes = routes.join("\n");
-        let text = if is_first { format!("{routes}\n{common}") } else { format!("{common}{routes}") };
-        match (check(&bundle(&text)), in_steps(&text).0) {
-            (Ok(whole), Ok(steps)) => prop_assert_eq!(shown(&whole), shown(&steps)),
-            (Err(whole), Err(steps)) => prop_assert_eq!(whole.to_string(), steps.to_string()),
-            (whole, steps) => prop_assert!(false, "{text:?}: {whole:?} and {steps:?}"),
+        let text = if routes_first {
+            format!("{routes}\n{common}")
+        } else {
+            format!("{common}{routes}")
+        };
+        match (check(&bundle(&text)), check_in_steps(&text).0) {
+            (Ok(full), Ok(incremental)) => prop_assert_eq!(to_text(&full), to_text(&incremental)),
+            (Err(full), Err(incremental)) => prop_assert_eq!(
+                full.to_string(),
+                incremental.to_string()
+            ),
+            (full, incremental) => prop_assert!(false, "{text:?}: {full:?} and {incremental:?}"),
         }
     }
 
     #[test]
-    fn paths_that_stand_twice_are_told_as_when_all_pairs_were_compared(
-        places in prop::collection::vec((0..3u8, 0..6u8), 0..12),
+    fn duplicate_paths_are_reported_as_by_pairwise_comparison(
+        host_paths in prop::collection::vec((0..3u8, 0..6u8), 0..12),
     ) {
         let mut text = "[registered s]\nhealth_path=/\n".to_string();
         let mut kept: Vec<(u8, u8)> = Vec::new();
         let mut problems = Vec::new();
-        for (i, (host, path)) in places.iter().enumerate() {
+        for (i, (host, path)) in host_paths.iter().enumerate() {
             text += &format!("[route r{i}]\nhost=h{host}\npath=/{path}\nservices=s:1\n");
-            // As the check was made before: each path beside all that were kept of its host.
+            // Reference: compares each path with all earlier paths of its host that had no problem.
             if kept.iter().any(|other| other == &(*host, *path)) {
                 let line = text.lines().count() - 1;
                 problems.push((line, format!("route r{i}"), format!("/{path}")));
@@ -163,17 +173,24 @@
                 prop_assert_eq!(declarations.routes.values().flatten().count(), kept.len());
             }
             Err(found) => {
-                let all_are_paths = found.0.iter().all(|it| it.key == "path" && it.allowed == "the path of another route");
-                prop_assert!(all_are_paths);
-                let found = found.0.into_iter().map(|it| (it.line, it.section, it.value));
+                let all_are_duplicate_paths = found
+                    .0
+                    .iter()
+                    .all(|problem| problem.key == "path"
+                        && problem.allowed == "already the path of another route of this host");
+                prop_assert!(all_are_duplicate_paths);
+                let found = found
+                    .0
+                    .into_iter()
+                    .map(|problem| (problem.line, problem.section, problem.value));
                 prop_assert_eq!(found.collect::<Vec<_>>(), problems);
             }
         }
     }
 }
 
-/// A set in the form in which the users' platform's objects are translated.
-fn large(routes: usize) -> String {
+/// A set in the form to which the objects of the platform are translated.
+fn large_set(routes: usize) -> String {
     let mut text = "[registered one]\nhealth_path=/health\nmax_connections=60\n".to_string();
     for i in 0..routes {
         text += &format!("\n[route r-{i}]\nhost=one.example\npath=/{i}/\nservices=one:1\n");
@@ -183,47 +200,49 @@
 }
 
 #[test]
-fn the_ini_reader_reads_as_much_of_a_set_of_8_000_routes_as_of_one_of_500() {
-    let work = [500, 2_000, 8_000].map(|routes| {
-        let text = large(routes);
-        let (checked, work) = in_steps(&text);
-        let checked = checked.expect("a good set");
+fn ini_reader_reads_as_much_for_8_000_routes_as_for_500() {
+    let bytes_read = [500, 2_000, 8_000].map(|routes| {
+        let text = large_set(routes);
+        let (outcome, bytes_read) = check_in_steps(&text);
+        let checked = outcome.expect("a valid set");
         assert_eq!(checked.routes["one.example"].len(), routes);
-        assert_eq!(work.plain_bytes + work.ini_bytes, text.len());
-        work
+        assert_eq!(bytes_read.plain_bytes + bytes_read.ini_bytes, text.len());
+        bytes_read
     });
     assert!(
-        work.iter().all(|it| it.ini_bytes == work[0].ini_bytes),
-        "{work:?}"
+        bytes_read
+            .iter()
+            .all(|read| read.ini_bytes == bytes_read[0].ini_bytes),
+        "{bytes_read:?}"
     );
 }
 
-/// A key that counts how often it is compared.
-struct Counted<'a>(u32, &'a Cell<u64>);
+/// A key that counts its comparisons.
+struct CountingKey<'a>(u32, &'a Cell<u64>);
 
-impl Hash for Counted<'_> {
+impl Hash for CountingKey<'_> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.hash(state);
     }
 }
 
-impl PartialEq for Counted<'_> {
+impl PartialEq for CountingKey<'_> {
     fn eq(&self, other: &Self) -> bool {
         self.1.set(self.1.get() + 1);
         self.0 == other.0
     }
 }
 
-impl Eq for Counted<'_> {}
+impl Eq for CountingKey<'_> {}
 
 #[test]
-fn comparisons_of_paths_grow_with_their_number_and_not_with_that_of_their_pairs() {
+fn path_comparisons_stay_below_the_number_of_paths() {
     for count in [500, 2_000, 8_000] {
         let compared = Cell::new(0);
-        let keys = (0..count).map(|i| Counted(i, &compared));
+        let keys = (0..count).map(|i| CountingKey(i, &compared));
         assert!(first_occurrences(keys).into_iter().all(|is_first| is_first));
-        // Of different keys hardly any falls on the place of another.
-        let most = u64::from(count);
-        assert!(compared.get() < most, "{} for {count}", compared.get());
+        // Distinct keys rarely collide in the hash set.
+        let bound = u64::from(count);
+        assert!(compared.get() < bound, "{} for {count}", compared.get());
     }
 }
--- a/components/declarations/tests/reuse.rs
+++ b/components/declarations/tests/reuse.rs
@@ -1,4 +1,5 @@
-//! A set that was checked after another is what it is when it is checked alone.
+//! Tests that a check that reuses routes of the previously checked set has the outcome of the full
+//! check.
 
 use declarations::{check, check_incremental, Bundle, Declarations, Route, SERVICES_FILE};
 use proptest::prelude::*;
@@ -16,8 +17,9 @@
     routes
 }
 
-/// Routes of few names, hosts, paths and services, so that drawn sets share some and clash in others.
-fn routes_of_a_set() -> impl Strategy<Value = String> {
+/// Routes from few names, hosts, paths and services, so that generated sets have some in common and
+/// conflict in others.
+fn route_sections() -> impl Strategy<Value = String> {
     let fields = (0..2u8, 0..4u8, 0..3u8, any::<bool>());
     prop::collection::btree_map(0..6u8, fields, 0..5).prop_map(|routes| {
         let route = |(name, (host, path, service, more)): (u8, (u8, u8, u8, bool))| {
@@ -30,14 +32,14 @@
     })
 }
 
-/// A set with two or three services. A heading may stand twice.
+/// A set with two or three services. Headings may occur twice.
 fn set() -> impl Strategy<Value = String> {
     let twice = prop_oneof![9 => Just(false), 1 => Just(true)];
-    (2..4u8, routes_of_a_set(), twice).prop_map(|(services, routes, twice)| {
+    (2..4u8, route_sections(), twice).prop_map(|(services, routes, twice)| {
         let service = |i| format!("[registered s{i}]\nhealth_path = /\n\n");
         let services: String = (0..services).map(service).collect();
-        let again = if twice { routes.as_str() } else { "" };
-        services + routes.as_str() + again
+        let repeated = if twice { routes.as_str() } else { "" };
+        services + routes.as_str() + repeated
     })
 }
 
@@ -50,31 +52,35 @@
     })]
 
     #[test]
-    fn what_is_taken_over_changes_no_outcome(texts in prop::collection::vec(set(), 1..6)) {
-        let mut before = Declarations::default();
+    fn reused_routes_do_not_change_the_outcome(texts in prop::collection::vec(set(), 1..6)) {
+        let mut previous = Declarations::default();
         for text in texts {
-            let alone = check(&bundle(&text));
-            let after = check_incremental(bundle(&text), &before);
-            match (alone, after) {
-                (Ok(alone), Ok(after)) => {
-                    prop_assert_eq!(routes(&alone), routes(&after));
-                    prop_assert_eq!(&alone.registered, &after.registered);
-                    before = after;
+            let full = check(&bundle(&text));
+            let incremental = check_incremental(bundle(&text), &previous);
+            match (full, incremental) {
+                (Ok(full), Ok(incremental)) => {
+                    prop_assert_eq!(routes(&full), routes(&incremental));
+                    prop_assert_eq!(&full.registered, &incremental.registered);
+                    previous = incremental;
                 }
-                (Err(alone), Err(after)) => prop_assert_eq!(alone.to_string(), after.to_string()),
-                (alone, after) => prop_assert!(false, "{alone:?} and {after:?}"),
+                (Err(full), Err(incremental)) => prop_assert_eq!(
+                    full.to_string(),
+                    incremental.to_string()
+                ),
+                (full, incremental) => prop_assert!(false, "{full:?} and {incremental:?}"),
             }
         }
     }
 }
 
 #[test]
-fn a_route_whose_service_is_gone_is_a_problem_though_its_section_is_the_same() {
+fn unchanged_route_to_a_removed_service_is_rejected() {
     let route = "[route r]\nhost = h\npath = /\nservices = s:1\n";
     let with = format!("[registered s]\nhealth_path = /\n\n{route}");
     let without = format!("[registered t]\nhealth_path = /\n\n{route}");
-    let before = check(&bundle(&with)).expect("a good set");
-    let problems = check_incremental(bundle(&without), &before).expect_err("no such service");
+    let previous = check(&bundle(&with)).expect("a valid set");
+    let problems =
+        check_incremental(bundle(&without), &previous).expect_err("route to a removed service");
     assert!(
         problems
             .to_string()
@@ -84,13 +90,17 @@
 }
 
 #[test]
-fn two_routes_with_one_path_are_a_problem_though_the_section_of_one_is_the_same() {
+fn unchanged_route_with_the_same_path_as_a_new_route_is_rejected() {
     let service = "[registered s]\nhealth_path = /\n\n";
     let route = |name| format!("[route {name}]\nhost = h\npath = /\nservices = s:1\n\n");
     let first = format!("{service}{}", route("first"));
-    let before = check(&bundle(&first)).expect("a good set");
+    let previous = check(&bundle(&first)).expect("a valid set");
     let both = format!("{first}{}", route("second"));
-    let problems = check_incremental(bundle(&both), &before).expect_err("one path twice");
+    let problems =
+        check_incremental(bundle(&both), &previous).expect_err("two routes with the same path");
     let text = problems.to_string();
-    assert!(text.contains("the path of another route"), "{text}");
+    assert!(
+        text.contains("already the path of another route of this host"),
+        "{text}"
+    );
 }
