--- a/components/registry/src/beside.rs
+++ b/components/registry/src/beside.rs
@@ -1,24 +1,24 @@
-//! What stands beside a node by its settings, held against what is said of it.
+//! Checks reports about the local upstream against the node's settings.
 //!
-//! Whoever reaches a node's door, or writes to the store, may say anything of the upstream beside the node. The
-//! settings say which service runs on the VM and where it serves, so a word that names another service or address is
-//! not about this upstream.
+//! Any process that can reach the node's registration endpoint or write to the store can make claims
+//! about the local upstream. The settings give the service that runs on the VM and its address, so a
+//! report with a different service or address describes another upstream.
 
 use crate::record::Instance;
 use names::Name;
 use std::net::SocketAddr;
 
-/// What says which service runs on a VM.
+/// Source of the name of the service that runs on the local VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// The settings.
+    /// The node's settings.
     Settings,
-    /// What the upstream says of itself.
+    /// The registration of the upstream.
     Registration,
 }
 
 impl Origin {
-    /// A fixed lower-case name for logs.
+    /// Fixed lower-case name for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Origin::Settings => "settings",
@@ -27,26 +27,26 @@
     }
 }
 
-/// The service that runs on a VM, and what says so.
+/// The service that runs on the local VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalService {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// What says so.
+    /// Source of the name.
     pub origin: Origin,
 }
 
-/// What a word about the upstream says otherwise than the settings.
+/// The part of a report about the upstream that contradicts the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mismatch {
-    /// The service.
+    /// The service differs.
     Service,
-    /// The address.
+    /// The address differs.
     Address,
 }
 
 impl Mismatch {
-    /// A fixed lower-case name for logs.
+    /// Fixed lower-case name for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Mismatch::Service => "service",
@@ -55,62 +55,63 @@
     }
 }
 
-/// What is declared of a service, as far as declarations are known.
+/// Whether the declarations in force contain a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Declared {
-    /// The declarations in force name it.
+    /// The service is declared.
     Yes,
-    /// They don't.
+    /// The service is not declared.
     No,
-    /// None are in force yet.
+    /// No declarations are in force yet.
     Unknown,
 }
 
-/// What the settings say of the upstream beside a node.
+/// The local upstream of a node as its settings describe it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ConfiguredUpstream {
-    /// Its service; none if they don't say.
+    /// Its service, if set.
     pub service: Option<Name>,
-    /// Where it serves; none if they don't say.
+    /// Its address, if set.
     pub address: Option<SocketAddr>,
 }
 
 impl ConfiguredUpstream {
-    /// What in `told` shows that it is about another upstream; none if it may be about this one.
+    /// The reason why `reported` can't be the local upstream; `None` if it can.
     pub fn mismatch(
         &self,
-        told: &Instance,
+        reported: &Instance,
         declared: impl Fn(&Name) -> Declared,
     ) -> Option<Mismatch> {
-        if !self.may_be(&told.service, declared) {
+        if !self.accepts_service(&reported.service, declared) {
             return Some(Mismatch::Service);
         }
-        let address = told.address.parse().ok();
+        let address = reported.address.parse().ok();
         if self.address.is_some() && self.address != address {
             return Some(Mismatch::Address);
         }
         None
     }
 
-    /// The service that runs on the VM. What its upstream last said and was believed goes first: settings that change while
-    /// it goes on are those of another one, or somebody else's.
-    pub fn service(&self, believed: Option<&Name>) -> Option<LocalService> {
-        let named = |service: &Name, origin| LocalService {
+    /// The service that runs on the VM. `registered`, the service of the last accepted
+    /// registration, takes precedence: settings that change while the upstream keeps running
+    /// describe another upstream, or were changed by another party.
+    pub fn service(&self, registered: Option<&Name>) -> Option<LocalService> {
+        let local_service = |service: &Name, origin| LocalService {
             service: service.clone(),
             origin,
         };
-        let from_upstream = believed.map(|service| named(service, Origin::Registration));
+        let from_upstream = registered.map(|service| local_service(service, Origin::Registration));
         let from_settings = self.service.as_ref();
-        from_upstream.or(from_settings.map(|service| named(service, Origin::Settings)))
+        from_upstream.or(from_settings.map(|service| local_service(service, Origin::Settings)))
     }
 
-    /// Whether `told` may be the service of this VM. The settings decide, unless nobody declares the service that they
-    /// name while `told` is declared: then they are the ones that are wrong.
-    fn may_be(&self, told: &Name, declared: impl Fn(&Name) -> Declared) -> bool {
+    /// Whether `name` may be the service of this VM. The settings decide, unless the service in the
+    /// settings is undeclared and `name` is declared: then the settings are assumed to be wrong.
+    fn accepts_service(&self, name: &Name, declared: impl Fn(&Name) -> Declared) -> bool {
         match &self.service {
-            Some(service) if service == told => true,
-            Some(service) => declared(service) == Declared::No && declared(told) == Declared::Yes,
-            None => declared(told) != Declared::No,
+            Some(service) if service == name => true,
+            Some(service) => declared(service) == Declared::No && declared(name) == Declared::Yes,
+            None => declared(name) != Declared::No,
         }
     }
 }
--- a/components/registry/src/digest.rs
+++ b/components/registry/src/digest.rs
@@ -1,22 +1,24 @@
-//! Short digests of the records, by which nodes find out what they know differently.
+//! Digests of the records, by which nodes find records that differ between them.
 //!
-//! Records are dealt to buckets by their VM. Nodes compare one digest of all; where it differs, the digests of
-//! the buckets; and only for buckets that differ the versions. With 295 nodes, versions of all records were
-//! three quarters of the bytes between halls: 10 KB for each comparison that found any difference.
+//! Records are distributed over buckets by VM. Nodes first compare one combined digest, then the
+//! digests of the buckets if it differs, and record versions only for the buckets that differ. With
+//! 295 nodes, the versions of all records took three quarters of the traffic between halls: 10 KB
+//! for each comparison that found a difference.
 
 use crate::record::Record;
 use names::Name;
 use sha2::{Digest, Sha256};
 
-/// Buckets: at 300 nodes about five records in each, at the users' largest target 24.
+/// Number of buckets: about five records per bucket with 300 nodes, 24 in the largest target
+/// deployment.
 pub const BUCKETS: usize = 64;
-/// Bytes of one bucket's digest.
+/// Size of the digest of one bucket.
 const DIGEST_BYTES: usize = 4;
 
-/// Which buckets, one bit each.
+/// A set of buckets, one bit per bucket.
 pub type BucketSet = u64;
 
-/// The digests of all buckets.
+/// Digests of all buckets. The digest of a bucket is the XOR of the digests of its records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Digests([u32; BUCKETS]);
 
@@ -27,24 +29,24 @@
 }
 
 impl Digests {
-    /// Takes a record in, or out again.
+    /// Adds a record, or removes it if it was added before.
     pub(crate) fn toggle(&mut self, record: &Record) {
         self.0[bucket(&record.vm)] ^= record_digest(record);
     }
 
-    /// One digest of all: nodes that know the same have the same.
+    /// One digest of all records; equal on nodes that have the same records.
     pub fn combined(&self) -> u64 {
         let hash = Sha256::digest(self.to_bytes());
         u64::from(first_u32(&hash)) << 32 | u64::from(first_u32(&hash[DIGEST_BYTES..]))
     }
 
-    /// As they are sent.
+    /// The form that is sent to other nodes.
     pub fn to_bytes(&self) -> Vec<u8> {
         let digests = self.0.iter();
         digests.flat_map(|digest| digest.to_le_bytes()).collect()
     }
 
-    /// As they came; none when these are no digests.
+    /// Reads the form that [`Digests::to_bytes`] writes; `None` if the length is wrong.
     pub fn from_bytes(bytes: &[u8]) -> Option<Digests> {
         if bytes.len() != BUCKETS * DIGEST_BYTES {
             return None;
@@ -56,7 +58,7 @@
         Some(digests)
     }
 
-    /// The buckets in which `other` differs.
+    /// The buckets whose digests differ between `self` and `other`.
     pub fn differing(&self, other: &Digests) -> BucketSet {
         let pairs = self.0.iter().zip(&other.0).enumerate();
         pairs
@@ -65,7 +67,7 @@
     }
 }
 
-/// Whether the records of a VM are in one of the buckets.
+/// Whether the record of a VM belongs to one of the buckets in `set`.
 pub(crate) fn is_in(set: BucketSet, vm: &Name) -> bool {
     set >> bucket(vm) & 1 == 1
 }
@@ -75,7 +77,8 @@
     first_u32(&hash) as usize % BUCKETS
 }
 
-/// Tells a record from any other: by all that it says, since somebody else may have changed it under its version.
+/// Digest of a record. It covers all fields, since another writer may have changed the record without
+/// changing its version.
 pub(crate) fn record_digest(record: &Record) -> u32 {
     let mut hasher = Sha256::new();
     let mut text = |text: &str| {
@@ -97,8 +100,8 @@
     hasher.update(record.version.generation.to_le_bytes());
     hasher.update(record.version.change.to_le_bytes());
     hasher.update([u8::from(record.serving)]);
-    for held in &record.quarantined {
-        hasher.update(held.to_string().as_bytes());
+    for fingerprint in &record.quarantined {
+        hasher.update(fingerprint.to_string().as_bytes());
     }
     first_u32(&hasher.finalize())
 }
--- a/components/registry/src/fleet.rs
+++ b/components/registry/src/fleet.rs
@@ -6,45 +6,48 @@
 use names::Name;
 use std::collections::{BTreeMap, HashMap};
 
-/// What became of a record that was offered.
+/// Result of merging a record into the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Newer than what was known; the record before it, if there was one.
+    /// Newer than the known record, or the first of its VM. Contains the record that it replaced.
     Applied(Option<Record>),
-    /// As known.
+    /// Equal to the known record.
     Same,
-    /// Older than what is known.
+    /// Older than the known record.
     Older,
-    /// No node can have come so far: another writer's, or spoiled.
+    /// The version is higher than any node can reach: the record is corrupt or from another writer.
     ImplausibleVersion,
-    /// As new as what is known, of the same start, and different: somebody else wrote one of the two.
+    /// Same version and boot as the known record, but different content: another writer wrote one
+    /// of the two.
     Conflict,
-    /// Another start of this node's own VM, or another writer, claims a version that isn't below this node's.
+    /// A record of this node's VM from another boot or another writer, with a version that is not
+    /// lower than this node's own.
     OwnConflict(Version),
 }
 
-/// The fleet as one node knows it.
+/// The records of all nodes, as known to one node.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    me: Name,
+    own_vm: Name,
     records: BTreeMap<Name, Record>,
     /// VMs with a ready upstream, by service and hall.
     ready: HashMap<Name, BTreeMap<Name, Vec<Name>>>,
-    /// Starts of upstreams whose answers said that they leave, by VM. They are not ready, whatever a record says: the node
-    /// beside one may have started anew and not know it.
-    leaving: HashMap<Name, Incarnation>,
+    /// Incarnations of upstreams that announced in an answer that they are draining, by VM. They
+    /// are not ready, whatever their record says: their node may have restarted and not know about
+    /// the drain.
+    draining: HashMap<Name, Incarnation>,
     digests: Digests,
 }
 
 impl Fleet {
-    /// A fleet that consists of the node that keeps it.
+    /// A fleet that consists of this node only.
     pub fn new(own: Record) -> Fleet {
-        let me = own.vm.clone();
+        let own_vm = own.vm.clone();
         let mut fleet = Fleet {
-            me,
+            own_vm,
             records: BTreeMap::new(),
             ready: HashMap::new(),
-            leaving: HashMap::new(),
+            draining: HashMap::new(),
             digests: Digests::default(),
         };
         fleet.put(own);
@@ -53,10 +56,10 @@
 
     /// This node's own record.
     pub fn own(&self) -> &Record {
-        &self.records[&self.me]
+        &self.records[&self.own_vm]
     }
 
-    /// Changes this node's own record; its version rises. Returns the new record.
+    /// Changes this node's own record and increments its version. Returns the new record.
     pub fn change_own(&mut self, change: impl FnOnce(&mut Record)) -> Record {
         let mut own = self.own().clone();
         change(&mut own);
@@ -65,22 +68,23 @@
         own
     }
 
-    /// Starts a new generation of this node's own record above `seen`. Returns the new record.
+    /// Moves this node's own record to the generation after that of `seen`. Returns the new record.
     pub fn supersede(&mut self, seen: Version) -> Record {
         self.change_own(|own| own.version.generation = seen.generation + 1)
     }
 
-    /// Takes in a record from the store or from another node.
+    /// Merges a record from the store or from another node.
     pub fn merge(&mut self, record: Record) -> MergeOutcome {
         if !record.version.is_plausible() {
             return MergeOutcome::ImplausibleVersion;
         }
         let known = self.records.get(&record.vm);
-        if record.vm == self.me {
+        if record.vm == self.own_vm {
             let own = self.own();
-            // Whoever wrote it: what isn't this node's own word, and others would take for it, is said anew above it.
-            let foreign = record != *own && record.version >= own.version;
-            return if foreign {
+            // Other nodes would take this record for this node's own, whoever wrote it, so the caller
+            // has to supersede it.
+            let is_conflict = record != *own && record.version >= own.version;
+            return if is_conflict {
                 MergeOutcome::OwnConflict(record.version)
             } else {
                 MergeOutcome::Older
@@ -88,7 +92,8 @@
         }
         match known {
             Some(known) if record.version < known.version => MergeOutcome::Older,
-            // A later start of the VM, which does not know of the one before: it is told, and counts on.
+            // Another boot of the VM that has not learned of the earlier one. Its node is sent the
+            // known record and then supersedes it.
             Some(known) if record.version == known.version && record.boot != known.boot => {
                 MergeOutcome::Older
             }
@@ -105,58 +110,61 @@
         self.records.get(vm)
     }
 
-    /// All records, this node's own included.
+    /// All records, including this node's own.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
 
-    /// The other nodes.
+    /// The records of the other nodes.
     pub fn others(&self) -> impl Iterator<Item = &Record> {
-        self.records.values().filter(|record| record.vm != self.me)
+        self.records
+            .values()
+            .filter(|record| record.vm != self.own_vm)
     }
 
-    /// The nodes of a hall, this one included when it is in it.
+    /// The records of the nodes in a hall, including this node's own if it is in that hall.
     pub fn in_hall<'a>(&'a self, hall: &'a Name) -> impl Iterator<Item = &'a Record> {
         self.records
             .values()
             .filter(move |record| record.hall == *hall)
     }
 
-    /// Number of nodes known, this one included.
+    /// Number of known nodes, including this one.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Never: a node always knows itself.
+    /// Always false, since the fleet contains this node itself.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// VMs whose upstream takes new work for `service`, by hall.
+    /// VMs whose upstream accepts new work for `service`, by hall.
     pub fn ready(&self, service: &str) -> impl Iterator<Item = (&Name, &[Name])> {
         let halls = self.ready.get(service).into_iter().flatten();
         halls.map(|(hall, vms)| (hall, vms.as_slice()))
     }
 
-    /// Takes in that an answer said that this start of the upstream of `vm` leaves. Returns whether that is news.
+    /// Records that this incarnation of the upstream of `vm` announced in an answer that it is
+    /// draining. Returns whether this was not known before.
     pub fn set_upstream_draining(&mut self, vm: &Name, incarnation: &Incarnation) -> bool {
-        let before = self.leaving.insert(vm.clone(), incarnation.clone());
+        let before = self.draining.insert(vm.clone(), incarnation.clone());
         if self
             .records
             .get(vm)
-            .is_some_and(|record| self.leaves(record))
+            .is_some_and(|record| self.is_draining(record))
         {
-            self.unlist(vm);
+            self.remove_ready(vm);
         }
         before.as_ref() != Some(incarnation)
     }
 
-    fn leaves(&self, record: &Record) -> bool {
-        let leaving = self.leaving.get(&record.vm);
+    fn is_draining(&self, record: &Record) -> bool {
+        let draining = self.draining.get(&record.vm);
         let upstream = record.upstream.as_ref();
-        leaving
+        draining
             .zip(upstream)
-            .is_some_and(|(leaving, upstream)| upstream.incarnation().matches(leaving))
+            .is_some_and(|(draining, upstream)| upstream.incarnation().matches(draining))
     }
 
     /// Digests of all records.
@@ -164,11 +172,11 @@
         &self.digests
     }
 
-    /// Forgets a VM that is gone for good.
+    /// Removes a VM that no longer exists.
     pub fn remove(&mut self, vm: &Name) {
-        if *vm != self.me {
-            self.unlist(vm);
-            self.leaving.remove(vm);
+        if *vm != self.own_vm {
+            self.remove_ready(vm);
+            self.draining.remove(vm);
             if let Some(record) = self.records.remove(vm) {
                 self.digests.toggle(&record);
             }
@@ -176,8 +184,8 @@
     }
 
     fn put(&mut self, record: Record) -> Option<Record> {
-        self.unlist(&record.vm);
-        let is_ready = record.is_ready() && !self.leaves(&record);
+        self.remove_ready(&record.vm);
+        let is_ready = record.is_ready() && !self.is_draining(&record);
         if let Some(upstream) = record.upstream.as_ref().filter(|_| is_ready) {
             let halls = self.ready.entry(upstream.service.clone()).or_default();
             let vms = halls.entry(record.hall.clone()).or_default();
@@ -191,7 +199,7 @@
         before
     }
 
-    fn unlist(&mut self, vm: &Name) {
+    fn remove_ready(&mut self, vm: &Name) {
         let Some(record) = self.records.get(vm) else {
             return;
         };
--- a/components/registry/src/incarnation.rs
+++ b/components/registry/src/incarnation.rs
@@ -1,20 +1,22 @@
-//! One start of an upstream.
+//! Identity of one run of an upstream.
 
 use names::Name;
 use serde::{Deserialize, Serialize};
 
-/// One start of an upstream: another start under the same identity holds and knows nothing of this one.
+/// Identifies one run of an upstream process. A later run may have the same `id`, but none of the
+/// state of this one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Identity, which the next start may have again.
+    /// Identifier of the upstream. Later incarnations may have the same one.
     pub id: Name,
-    /// When it started, in ms since 1970 by its own clock; none if its platform doesn't say.
+    /// Start time in ms since 1970 by the upstream's own clock; none if the platform does not
+    /// report it.
     pub born_ms: Option<u64>,
 }
 
 impl Incarnation {
-    /// Whether this is the start `other`, as far as is known: one that doesn't say when it started is told apart
-    /// by its identity alone.
+    /// Whether this is the incarnation `other`, as far as is known. The start times are compared
+    /// only if both are known.
     pub fn matches(&self, other: &Incarnation) -> bool {
         let same_start = match (self.born_ms, other.born_ms) {
             (Some(mine), Some(theirs)) => mine == theirs,
@@ -23,8 +25,8 @@
         self.id == other.id && same_start
     }
 
-    /// Whether this says that it started before `other`. A clock that was set back between two starts makes the
-    /// later one say so as well.
+    /// Whether this reports an earlier start time than `other`. The later incarnation reports one
+    /// as well if the clock was set back between the two starts.
     pub fn claims_to_precede(&self, other: &Incarnation) -> bool {
         match (self.born_ms, other.born_ms) {
             (Some(mine), Some(theirs)) => mine < theirs,
--- a/components/registry/src/lib.rs
+++ b/components/registry/src/lib.rs
@@ -1,7 +1,9 @@
-//! Upstreams that register themselves: what the node beside one learns, and what all nodes know.
+//! Registration of upstreams: what a node learns about its local upstream and about the other nodes.
 //!
-//! An upstream tells the node beside it of every run of its own ([`LocalUpstream`]). Each node keeps one
-//! [`Record`] of itself and its upstream, which it alone writes and tells the others ([`Fleet`]).
+//! An upstream registers with its local node and repeats the registration periodically
+//! ([`LocalUpstream`]). Each node maintains one [`Record`] that describes itself and its upstream.
+//! Only the node itself writes this record, and it distributes the record to all other nodes
+//! ([`Fleet`]).
 
 mod beside;
 mod digest;
--- a/components/registry/src/local.rs
+++ b/components/registry/src/local.rs
@@ -1,142 +1,147 @@
-//! What the node beside an upstream learns from its registrations.
+//! State of the local upstream, derived from its registrations.
 //!
-//! Registrations may come late and out of order, also from a start that has ended. A start that was
-//! told as gone never comes back; a later one may have its identity. One that another one followed comes back only
-//! if it goes on and the other one doesn't: then the other one was none.
+//! Registrations may arrive late and out of order, even from an incarnation that has ended. An
+//! incarnation that was reported as gone never becomes current again; a later one may have the same
+//! identifier. An incarnation that was replaced by another becomes current again only if it
+//! continues to register and the other does not: then the registration of the other was false.
 
 use crate::incarnation::Incarnation;
 use crate::record::{Instance, State};
 use names::{Moment, SECOND};
 use std::collections::VecDeque;
 
-/// Ended starts that are remembered.
+/// Maximum number of ended incarnations that are remembered.
 const MAX_ENDED: usize = 64;
-/// A start that says it came before the present one is taken for its successor, with a clock that was set back,
-/// when it has gone on for so long while the present one said nothing, in microseconds: twice the users' time
-/// between two registrations (1.5 s), and a second for one that is late.
+/// An incarnation that reports an earlier start than the current one becomes current when it has
+/// registered for this time, in microseconds, without a registration of the current one in between:
+/// it is the successor, and its clock was set back. Two heartbeat intervals of 1.5 s, plus 1 s for
+/// a late registration.
 pub const CONFIRMATION_US: u64 = 4 * SECOND;
 
 /// One registration of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The start, with what it says of itself.
+    /// The incarnation, as it describes itself.
     pub instance: Instance,
-    /// Rises with each registration of the start.
+    /// Increases with each registration of the incarnation.
     pub sequence: u64,
-    /// How much longer the upstream is slow from its start, in milliseconds.
+    /// Remaining time in which the upstream is slow after its start, in milliseconds.
     pub cold_ms: u64,
 }
 
-/// What a registration changed.
+/// The change that a registration caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// The state or the slots of the start that was known.
+    /// The description of the current incarnation changed, for example its state or slots.
     Updated,
-    /// Another start stands beside the node now.
+    /// Another incarnation became current.
     Replaced,
 }
 
-/// What a registration was taken for.
+/// Result of a registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// News.
+    /// Applied.
     Taken(Change),
-    /// Older than a registration of the same start that came before.
+    /// Older than a registration of the same incarnation that arrived earlier.
     Late,
-    /// From a start that has ended. One whose place another took without a word from it is taken again once it has
-    /// gone on for [`CONFIRMATION_US`] while the other one said nothing.
+    /// From an incarnation that has ended. If it was replaced without a departure notice, it
+    /// becomes current again once it has registered for [`CONFIRMATION_US`] while the current one
+    /// did not.
     Ended,
-    /// From a start that says it came before the present one. It is taken once it has gone on for [`CONFIRMATION_US`]
-    /// while the present one said nothing: its clock was set back. Until then it must not be acknowledged.
+    /// From an incarnation that reports an earlier start than the current one. It becomes current
+    /// once it has registered for [`CONFIRMATION_US`] while the current one did not, since then its
+    /// clock was set back. Until then its registrations must not be acknowledged.
     Doubted,
 }
 
-/// What became of a start's word that it ends soon.
+/// Result of a departure notice, by which an incarnation announces that it will exit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DepartureOutcome {
-    /// It gets no new work from now on.
+    /// The incarnation was ready and gets no new work from now on.
     Taken,
-    /// It got none before.
+    /// The incarnation already got no new work.
     Known,
-    /// From a start that says it came before the present one of the same identity, and may be the one that
-    /// runs: it must not be acknowledged.
+    /// From an incarnation that has the identifier of the current one, reports an earlier start and
+    /// may be the one that runs. The notice must not be acknowledged.
     Doubted,
 }
 
-/// A start that says it came before the present one.
+/// An incarnation that reports an earlier start than the current one.
 #[derive(Debug, Clone)]
-struct Doubted {
+struct Unconfirmed {
     incarnation: Incarnation,
     since: Moment,
     sequence: u64,
 }
 
-/// A start that takes no work any more.
+/// An incarnation that accepts no more work.
 #[derive(Debug, Clone)]
 struct Ended {
     incarnation: Incarnation,
-    /// The state that it had reached.
+    /// Its last state.
     state: State,
-    /// Whether it or somebody else said so; otherwise another start took its place.
-    was_told: bool,
+    /// Whether its end was reported, by itself or by another party. Otherwise it was replaced by
+    /// another incarnation.
+    was_reported: bool,
 }
 
-/// The upstream beside this node.
+/// The local upstream of this node.
 #[derive(Debug, Clone, Default)]
 pub struct LocalUpstream {
     current: Option<Instance>,
     sequence: u64,
     ended: VecDeque<Ended>,
-    doubted: Option<Doubted>,
+    unconfirmed: Option<Unconfirmed>,
 }
 
 impl LocalUpstream {
-    /// The start beside this node, in whatever state.
+    /// The current incarnation, in any state.
     pub fn current(&self) -> Option<&Instance> {
         self.current.as_ref()
     }
 
-    /// Whether `told` names the present start as it is known: its identity, service and address.
-    pub fn is_current(&self, told: &Instance) -> bool {
+    /// Whether `other` has the incarnation, service and address of the current one.
+    pub fn is_current(&self, other: &Instance) -> bool {
         self.current.as_ref().is_some_and(|current| {
-            let is_same_start = current.incarnation().matches(&told.incarnation());
-            is_same_start && current.service == told.service && current.address == told.address
+            let is_same_start = current.incarnation().matches(&other.incarnation());
+            is_same_start && current.service == other.service && current.address == other.address
         })
     }
 
-    /// The start that takes work, if `told` is of another one at its address.
-    pub fn replaced_by(&self, told: &Instance) -> Option<&Instance> {
-        let incarnation = told.incarnation();
+    /// The current incarnation, if it is ready and `other` is another one at the same address.
+    pub fn replaced_by(&self, other: &Instance) -> Option<&Instance> {
+        let incarnation = other.incarnation();
         let current = self.current.as_ref()?;
-        let is_another = current.id != incarnation.id && self.ended(&incarnation).is_none();
-        let is_here = current.state == State::Ready && current.address == told.address;
+        let is_another = current.id != incarnation.id && self.find_ended(&incarnation).is_none();
+        let is_here = current.state == State::Ready && current.address == other.address;
         (is_another && is_here).then_some(current)
     }
 
-    /// Takes in a registration.
+    /// Applies a registration.
     pub fn on_heartbeat(&mut self, now: Moment, heartbeat: Heartbeat) -> HeartbeatOutcome {
         let incarnation = heartbeat.instance.incarnation();
         let current = self.current.as_ref().map(Instance::incarnation);
-        if let Some(ended) = self.ended(&incarnation) {
-            if ended.was_told {
+        if let Some(ended) = self.find_ended(&incarnation) {
+            if ended.was_reported {
                 return HeartbeatOutcome::Ended;
             }
-            return self.goes_on(now, heartbeat, current);
+            return self.on_resumed(now, heartbeat, current);
         }
         match current {
-            Some(current) if current.matches(&incarnation) => self.again(heartbeat),
+            Some(current) if current.matches(&incarnation) => self.on_current(heartbeat),
             Some(current) if incarnation.claims_to_precede(&current) => {
-                self.precedes(now, heartbeat)
+                self.on_unconfirmed(now, heartbeat)
             }
-            _ => self.follows(heartbeat),
+            _ => self.on_successor(heartbeat),
         }
     }
 
-    /// Takes in that a start will end soon: it gets no new work from now on.
+    /// Applies the departure notice of an incarnation, which gets no new work from now on.
     pub fn on_departure(&mut self, incarnation: &Incarnation) -> DepartureOutcome {
-        let is_known = self.ended(incarnation).is_some();
+        let is_known = self.find_ended(incarnation).is_some();
         match self.current.as_mut() {
             Some(current) if current.incarnation().matches(incarnation) => {
                 let before = current.state;
@@ -154,14 +159,14 @@
                 DepartureOutcome::Doubted
             }
             _ => {
-                self.end(incarnation.clone(), State::Gone, true);
+                self.record_end(incarnation.clone(), State::Gone, true);
                 DepartureOutcome::Known
             }
         }
     }
 
-    /// Takes in that a start leaves, by an answer that it gave: it gets no new work from now on, whatever its registrations
-    /// say. Returns whether that changed anything.
+    /// Records that an incarnation announced in an answer that it is draining. It gets no new work
+    /// from now on, whatever its registrations report. Returns whether the state changed.
     pub fn on_drain(&mut self, incarnation: &Incarnation) -> bool {
         match self.current.as_mut() {
             Some(current) if current.incarnation().matches(incarnation) => {
@@ -170,24 +175,25 @@
                 was_ready
             }
             _ => {
-                self.end(incarnation.clone(), State::Draining, false);
+                self.record_end(incarnation.clone(), State::Draining, false);
                 false
             }
         }
     }
 
-    /// Takes in a start that was found by a look at its address or told by another node, unless
-    /// something is known already. Returns whether it was taken.
+    /// Makes an incarnation current that was found by a probe of its address or reported by another
+    /// node, unless another one is current or this one has ended. Returns whether it became
+    /// current.
     pub fn adopt(&mut self, instance: Instance) -> bool {
-        if self.current.is_some() || self.ended(&instance.incarnation()).is_some() {
+        if self.current.is_some() || self.find_ended(&instance.incarnation()).is_some() {
             return false;
         }
         self.replace(instance, 0);
         true
     }
 
-    /// Takes in what another node remembers of a start: a state that was reached is never left.
-    /// Returns whether that changed anything.
+    /// Applies the state that another node remembers of an incarnation. A state never reverts to an
+    /// earlier one. Returns whether anything changed.
     pub fn restore_state(&mut self, instance: &Instance) -> bool {
         if instance.state == State::Ready {
             return false;
@@ -204,7 +210,7 @@
             Some(_) => false,
             None => {
                 if instance.state == State::Gone {
-                    self.end(incarnation, State::Gone, true);
+                    self.record_end(incarnation, State::Gone, true);
                     return false;
                 }
                 self.replace(instance.clone(), 0);
@@ -213,8 +219,8 @@
         }
     }
 
-    /// Takes in that something else answers at the address of `incarnation`. Returns whether that changed
-    /// anything.
+    /// Records that `incarnation` has ended, because another one answers at its address. Returns
+    /// whether it was the current one.
     pub fn mark_absent(&mut self, incarnation: &Incarnation) -> bool {
         let matches = self
             .current
@@ -223,14 +229,16 @@
         if matches {
             self.current = None;
         }
-        self.end(incarnation.clone(), State::Gone, true);
+        self.record_end(incarnation.clone(), State::Gone, true);
         matches
     }
 
-    /// A registration of a start whose place another one took without a word from it. It may be a late one; but if
-    /// whoever took the place isn't there any more, says nothing while this one goes on, or says that it is the
-    /// earlier one, then it was no start at all. An upstream that counted as ended got no work for as long as it ran.
-    fn goes_on(
+    /// Handles a registration of an incarnation that was replaced without a departure notice. It
+    /// may be late. But if the replacement is no longer current, does not register while this one
+    /// does, or reports an earlier start, then the replacement was not real and this one resumes.
+    /// Otherwise an upstream that was wrongly considered ended would get no work for the rest of
+    /// its run.
+    fn on_resumed(
         &mut self,
         now: Moment,
         heartbeat: Heartbeat,
@@ -239,18 +247,20 @@
         let incarnation = heartbeat.instance.incarnation();
         match current {
             Some(current) if !current.claims_to_precede(&incarnation) => {
-                match self.precedes(now, heartbeat) {
-                    // It gets no work, so there is nothing that an acknowledgement could promise wrongly.
+                match self.on_unconfirmed(now, heartbeat) {
+                    // It may be acknowledged: it gets no work, so the acknowledgement promises
+                    // nothing.
                     HeartbeatOutcome::Doubted => HeartbeatOutcome::Ended,
-                    taken => taken,
+                    outcome => outcome,
                 }
             }
-            _ => self.follows(heartbeat),
+            _ => self.on_successor(heartbeat),
         }
     }
 
-    /// A late registration: only that the start drains is news whenever it comes, since it never takes work again.
-    fn late(&mut self, state: State) -> HeartbeatOutcome {
+    /// Handles a late registration. It matters only if it reports that the incarnation is draining,
+    /// since this is final.
+    fn on_late(&mut self, state: State) -> HeartbeatOutcome {
         match self.current.as_mut() {
             Some(known) if known.state < state => {
                 known.state = state;
@@ -260,18 +270,18 @@
         }
     }
 
-    /// A further registration of the present start.
-    fn again(&mut self, heartbeat: Heartbeat) -> HeartbeatOutcome {
+    /// Handles a registration of the current incarnation.
+    fn on_current(&mut self, heartbeat: Heartbeat) -> HeartbeatOutcome {
         if heartbeat.sequence < self.sequence {
-            return self.late(heartbeat.instance.state);
+            return self.on_late(heartbeat.instance.state);
         }
         self.sequence = heartbeat.sequence;
-        self.doubted = None;
+        self.unconfirmed = None;
         let Some(known) = self.current.as_ref() else {
             return HeartbeatOutcome::Late;
         };
         let next = Instance {
-            // A start that drains never takes work again.
+            // A draining incarnation never accepts work again.
             state: known.state.max(heartbeat.instance.state),
             born_ms: known.born_ms.or(heartbeat.instance.born_ms),
             ..heartbeat.instance
@@ -285,20 +295,23 @@
         HeartbeatOutcome::Taken(change)
     }
 
-    /// A registration of a start that says it came before the present one. A word of an earlier start that was
-    /// held back comes alone; one whose clock was set back goes on, and the present one says nothing any more.
-    fn precedes(&mut self, now: Moment, heartbeat: Heartbeat) -> HeartbeatOutcome {
+    /// Handles a registration of an incarnation that reports an earlier start than the current one.
+    /// A delayed registration of an earlier incarnation is not followed by more. A successor whose
+    /// clock was set back continues to register, and the current one does not.
+    fn on_unconfirmed(&mut self, now: Moment, heartbeat: Heartbeat) -> HeartbeatOutcome {
         let incarnation = heartbeat.instance.incarnation();
-        let before = self.doubted.as_mut();
-        match before.filter(|doubted| doubted.incarnation == incarnation) {
-            Some(doubted) if doubted.sequence >= heartbeat.sequence => HeartbeatOutcome::Doubted,
-            Some(doubted) if now.since(doubted.since) >= CONFIRMATION_US => self.follows(heartbeat),
-            Some(doubted) => {
-                doubted.sequence = heartbeat.sequence;
+        let before = self.unconfirmed.as_mut();
+        match before.filter(|known| known.incarnation == incarnation) {
+            Some(known) if known.sequence >= heartbeat.sequence => HeartbeatOutcome::Doubted,
+            Some(known) if now.since(known.since) >= CONFIRMATION_US => {
+                self.on_successor(heartbeat)
+            }
+            Some(known) => {
+                known.sequence = heartbeat.sequence;
                 HeartbeatOutcome::Doubted
             }
             None => {
-                self.doubted = Some(Doubted {
+                self.unconfirmed = Some(Unconfirmed {
                     incarnation,
                     since: now,
                     sequence: heartbeat.sequence,
@@ -308,10 +321,10 @@
         }
     }
 
-    /// The first registration of a start that takes the place of the present one.
-    fn follows(&mut self, heartbeat: Heartbeat) -> HeartbeatOutcome {
+    /// Handles the first registration of an incarnation that replaces the current one.
+    fn on_successor(&mut self, heartbeat: Heartbeat) -> HeartbeatOutcome {
         let mut instance = heartbeat.instance;
-        if let Some(ended) = self.ended(&instance.incarnation()) {
+        if let Some(ended) = self.find_ended(&instance.incarnation()) {
             instance.state = instance.state.max(ended.state);
         }
         self.replace(instance, heartbeat.sequence);
@@ -322,21 +335,21 @@
         let incarnation = instance.incarnation();
         self.ended.retain(|ended| ended.incarnation != incarnation);
         if let Some(before) = self.current.replace(instance) {
-            self.end(before.incarnation(), before.state, false);
+            self.record_end(before.incarnation(), before.state, false);
         }
         self.sequence = sequence;
-        self.doubted = None;
+        self.unconfirmed = None;
     }
 
-    fn ended(&self, incarnation: &Incarnation) -> Option<&Ended> {
+    fn find_ended(&self, incarnation: &Incarnation) -> Option<&Ended> {
         let mut ended = self.ended.iter();
         ended.find(|ended| ended.incarnation == *incarnation)
     }
 
-    fn end(&mut self, incarnation: Incarnation, state: State, was_told: bool) {
+    fn record_end(&mut self, incarnation: Incarnation, state: State, was_reported: bool) {
         let mut ended = self.ended.iter_mut();
         if let Some(known) = ended.find(|known| known.incarnation == incarnation) {
-            known.was_told |= was_told;
+            known.was_reported |= was_reported;
             known.state = known.state.max(state);
             return;
         }
@@ -346,7 +359,7 @@
         self.ended.push_back(Ended {
             incarnation,
             state,
-            was_told,
+            was_reported,
         });
     }
 }
--- a/components/registry/src/record.rs
+++ b/components/registry/src/record.rs
@@ -1,26 +1,26 @@
-//! What a node says of itself and of the upstream beside it.
+//! The record in which a node describes itself and its local upstream.
 //!
-//! The names of fields are short on the way and in the store: records are most of what nodes of different
-//! halls tell one another. The long ones are read as well, since earlier versions wrote them.
+//! Field names are short on the wire and in the store, since records make up most of the traffic
+//! between halls. The long names are accepted as well, since earlier versions wrote them.
 
 use crate::incarnation::Incarnation;
 use names::{BootId, Name};
 use quarantine::Fingerprint;
 use serde::{Deserialize, Serialize};
 
-/// Life of one run of an upstream.
+/// Life cycle of an incarnation of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// Takes new work.
+    /// Accepts new work.
     Ready,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its current work and accepts no new work.
     Draining,
-    /// Has ended, or is about to; never comes back under this identity.
+    /// Has terminated or is about to; final for this incarnation.
     Gone,
 }
 
 impl State {
-    /// A fixed lower-case name for logs.
+    /// Fixed lower-case name for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Ready => "ready",
@@ -30,22 +30,22 @@
     }
 }
 
-/// One start of an upstream, with what it says of itself.
+/// An incarnation of an upstream, as it describes itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its identity, which a later start may have again.
+    /// Its identifier. Later incarnations may have the same one.
     #[serde(rename = "i", alias = "id")]
     pub id: Name,
-    /// When it started, in ms since 1970 by its own clock; none if its platform doesn't say.
+    /// Start time in ms since 1970 by its own clock; none if its platform does not report it.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub born_ms: Option<u64>,
-    /// Service that it belongs to.
+    /// The service that it belongs to.
     #[serde(rename = "s", alias = "service")]
     pub service: Name,
-    /// Where it serves, as address and port.
+    /// Address and port on which it serves requests.
     #[serde(rename = "a", alias = "address")]
     pub address: String,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     #[serde(rename = "t", alias = "slots")]
     pub slots: u32,
     /// Its state.
@@ -54,7 +54,7 @@
 }
 
 impl Instance {
-    /// Which start this is.
+    /// The identity of this incarnation.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
@@ -63,32 +63,32 @@
     }
 }
 
-/// Orders the records of one VM: the generation rises with each start of its node, the change with
+/// Orders the records of one VM: `generation` increases with each boot of its node, `change` with
 /// each change of the record.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// Start of the node.
+    /// Number of the boot.
     #[serde(rename = "g", alias = "generation")]
     pub generation: u64,
-    /// Change within that start.
+    /// Number of the change within that boot.
     #[serde(rename = "c", alias = "change")]
     pub change: u64,
 }
 
-/// Highest number of starts, or of changes within one, that a version may have: with one a second it is reached after
-/// 136 years. Nothing could be told over a record with the largest number there is, and its VM would be lost to all.
-const MOST_COUNTED: u64 = u32::MAX as u64;
+/// Maximum of both numbers of a version: at one per second it is reached after 136 years. A record
+/// with the largest `u64` could never be superseded, and its VM would stay unusable for all nodes.
+const MAX_NUMBER: u64 = u32::MAX as u64;
 
 impl Version {
-    /// Whether a node can have come so far.
+    /// Whether a node can have reached this version.
     pub fn is_plausible(self) -> bool {
-        self.generation <= MOST_COUNTED && self.change <= MOST_COUNTED
+        self.generation <= MAX_NUMBER && self.change <= MAX_NUMBER
     }
 }
 
-/// What a node tells the others of itself.
+/// Description of a node that it distributes to the other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The VM.
@@ -97,35 +97,36 @@
     /// Its data hall.
     #[serde(rename = "h", alias = "hall")]
     pub hall: Name,
-    /// Where its node serves peers, as address and port.
+    /// Address and port on which its node accepts connections from peers.
     #[serde(rename = "p", alias = "peers")]
     pub peers: String,
-    /// The run of its node.
+    /// The boot of its node.
     #[serde(rename = "b", alias = "boot")]
     pub boot: BootId,
-    /// Which record of the VM is the newer one.
+    /// Determines which of two records of the VM is newer.
     #[serde(rename = "n", alias = "version")]
     pub version: Version,
-    /// Whether the node takes work for its upstream; false during a planned stop.
+    /// Whether the node accepts work for its upstream; false during a planned stop.
     #[serde(rename = "s", alias = "serving")]
     pub serving: bool,
-    /// The upstream beside the node, once one has registered.
+    /// The node's local upstream, once one has registered.
     #[serde(rename = "u", alias = "upstream")]
     pub upstream: Option<Instance>,
-    /// Requests that no upstream may see, because upstreams ended while they ran them; those of which this node
-    /// saw an end. They stand here since every node reads the records when it starts.
+    /// Requests that may not be sent to any upstream, because upstreams crashed while running them;
+    /// only those for which this node observed a crash. They are part of the record because every
+    /// node reads the records when it starts.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub quarantined: Vec<Fingerprint>,
 }
 
 impl Record {
-    /// Whether its upstream has said that it is gone: the VM goes with it, or another one is started there.
+    /// Whether its upstream is gone. The VM is then removed, or another upstream is started on it.
     pub fn is_gone(&self) -> bool {
         let upstream = self.upstream.as_ref();
         upstream.is_some_and(|upstream| upstream.state == State::Gone)
     }
 
-    /// Whether the upstream takes new work through its node.
+    /// Whether the upstream accepts new work through its node.
     pub fn is_ready(&self) -> bool {
         let ready = |upstream: &Instance| upstream.state == State::Ready;
         self.serving && self.upstream.as_ref().is_some_and(ready)
