--- a/components/membership/src/rendezvous.rs
+++ b/components/membership/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! An order of VMs on which all nodes agree, another one for each topic.
+//! Rendezvous hashing: an order of VMs per topic, which is the same on all nodes.
 
 use names::Name;
 use sha2::{Digest, Sha256};
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The list of VMs as a hint, and facts beside it.
+//! Tests of the fleet view: the platform's list, and facts that the node learned itself.
 
 use membership::{View, Vm, VmList};
 use names::{BootId, Name};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_older_list_never_replaces_a_newer_one() {
+fn older_or_equal_list_does_not_replace_the_current_one() {
     let mut view = View::default();
     assert!(view.update(list(2, vec![vm("a", "north", true)])));
     assert!(!view.update(list(1, vec![vm("a", "north", false)])));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_vm_that_vanished_from_the_list_can_still_be_reached() {
+fn vm_missing_from_the_list_is_still_known() {
     let mut view = View::default();
     view.update(list(1, vec![vm("a", "north", false)]));
     view.update(list(2, vec![]));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_word_of_a_boot_that_leaves_is_not_held_against_its_successor() {
+fn leaving_boot_does_not_affect_the_next_boot_of_its_vm() {
     let mut view = View::default();
     let name = Name::from("a");
     view.update(list(1, vec![vm("a", "north", false)]));
@@ -45,7 +45,7 @@
     assert!(view.is_leaving(&name));
     assert!(
         view.record_boot(&name, BootId(2)),
-        "another boot stands there now"
+        "another boot answers now"
     );
     assert!(!view.is_leaving(&name));
 }
--- a/components/names/src/lib.rs
+++ b/components/names/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers and units shared by all duties.
+//! Identifiers and time units that all crates share.
 
 mod moment;
 
@@ -14,7 +14,6 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The text of the name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -44,12 +43,12 @@
     }
 }
 
-/// Identifies one run of a node process; drawn at random at start and never reused.
+/// Identifies one run of a node process. Generated randomly at startup and never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BootId(pub u64);
 
 impl BootId {
-    /// Draws a new identifier from the system's random source.
+    /// Generates a new identifier from the system's random source.
     pub fn random() -> BootId {
         BootId(rand::random())
     }
@@ -61,13 +60,13 @@
     }
 }
 
-/// Identifies one attempt for ever: the entry node's boot and a counter within it.
+/// Globally unique identifier of an attempt: the entry node's boot and a counter within that boot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
     /// Boot of the entry node that made the attempt.
     #[serde(rename = "b")]
     pub boot: BootId,
-    /// Counter within that boot, rising by one with each attempt.
+    /// Counter within that boot, incremented with each attempt.
     #[serde(rename = "s")]
     pub seq: u64,
 }
--- a/components/names/src/moment.rs
+++ b/components/names/src/moment.rs
@@ -1,4 +1,4 @@
-//! Points in time as plain numbers, so that decisions need no clock.
+//! Points in time as plain numbers, so that decision logic does not read a clock.
 
 use std::ops::{Add, Sub};
 
@@ -7,12 +7,12 @@
 /// Microseconds in a second.
 pub const SECOND: u64 = 1_000_000;
 
-/// Microseconds on the monotonic clock of one process; not comparable between processes.
+/// Monotonic time of one process in microseconds. Not comparable between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// Microseconds from `earlier` to `self`, or 0 when `earlier` is later.
+    /// Microseconds from `earlier` to `self`, or 0 if `earlier` is later.
     pub fn since(self, earlier: Moment) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/components/registry/src/beside.rs
+++ b/components/registry/src/beside.rs
@@ -11,7 +11,6 @@
 /// Source of the name of the service that runs on the local VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// The node's settings.
     Settings,
     /// The registration of the upstream.
     Registration,
@@ -30,7 +29,6 @@
 /// The service that runs on the local VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalService {
-    /// Name of the service.
     pub service: Name,
     /// Source of the name.
     pub origin: Origin,
@@ -39,9 +37,7 @@
 /// The part of a report about the upstream that contradicts the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mismatch {
-    /// The service differs.
     Service,
-    /// The address differs.
     Address,
 }
 
--- a/components/registry/src/fleet.rs
+++ b/components/registry/src/fleet.rs
@@ -54,7 +54,6 @@
         fleet
     }
 
-    /// This node's own record.
     pub fn own(&self) -> &Record {
         &self.records[&self.own_vm]
     }
@@ -105,7 +104,6 @@
         }
     }
 
-    /// The record of a VM.
     pub fn record(&self, vm: &Name) -> Option<&Record> {
         self.records.get(vm)
     }
@@ -167,7 +165,6 @@
             .is_some_and(|(draining, upstream)| upstream.incarnation().matches(draining))
     }
 
-    /// Digests of all records.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
--- a/components/registry/src/record.rs
+++ b/components/registry/src/record.rs
@@ -39,7 +39,6 @@
     /// Start time in ms since 1970 by its own clock; none if its platform does not report it.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub born_ms: Option<u64>,
-    /// The service that it belongs to.
     #[serde(rename = "s", alias = "service")]
     pub service: Name,
     /// Address and port on which it serves requests.
@@ -48,13 +47,11 @@
     /// Number of requests that it processes concurrently.
     #[serde(rename = "t", alias = "slots")]
     pub slots: u32,
-    /// Its state.
     #[serde(rename = "z", alias = "state")]
     pub state: State,
 }
 
 impl Instance {
-    /// The identity of this incarnation.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
@@ -91,10 +88,8 @@
 /// Description of a node that it distributes to the other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The VM.
     #[serde(rename = "v", alias = "vm")]
     pub vm: Name,
-    /// Its data hall.
     #[serde(rename = "h", alias = "hall")]
     pub hall: Name,
     /// Address and port on which its node accepts connections from peers.
--- a/components/registry/src/spread.rs
+++ b/components/registry/src/spread.rs
@@ -23,7 +23,6 @@
 /// Versions of the records that a node has in some buckets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
-    /// The buckets.
     #[serde(rename = "b")]
     pub buckets: BucketSet,
     /// The version of each record in these buckets.
