--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -68,8 +68,8 @@
         listed || announced
     }
 
-    /// The VM of this name as last listed. A VM that is no longer listed is kept, since the list may be
-    /// wrong and a failing connection is stronger evidence.
+    /// The VM of this name as last listed. A VM that is no longer listed is kept, since the list
+    /// may be wrong and a failing connection is stronger evidence.
     pub fn vm(&self, name: &Name) -> Option<&Vm> {
         self.by_name.get(name)
     }
--- a/components/registry/tests/beside.rs
+++ b/components/registry/tests/beside.rs
@@ -1,5 +1,5 @@
-//! What a node believes of the upstream beside it, for everything that its settings, the declarations and others may
-//! say.
+//! Tests which reports about its local upstream a node accepts, for combinations of settings,
+//! declarations and registrations.
 
 use names::{Moment, Name};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 const ADDRESS: &str = "10.0.0.1:80";
 const SERVICES: [&str; 4] = ["prices", "bids", "x1", "x2"];
 
-fn told(service: &str, address: &str) -> Instance {
+fn reported(service: &str, address: &str) -> Instance {
     Instance {
         id: Name::from("i-1"),
         born_ms: None,
@@ -23,7 +23,7 @@
     }
 }
 
-fn beside(service: Option<&str>) -> ConfiguredUpstream {
+fn configured(service: Option<&str>) -> ConfiguredUpstream {
     ConfiguredUpstream {
         service: service.map(Name::from),
         address: ADDRESS.parse().ok(),
@@ -45,150 +45,151 @@
 }
 
 #[test]
-fn a_word_that_names_another_service_or_address_is_not_about_the_upstream() {
-    let prices = beside(Some("prices"));
+fn report_with_another_service_or_address_is_rejected() {
+    let prices = configured(Some("prices"));
     let both = declared(&["prices", "bids"]);
-    assert_eq!(prices.mismatch(&told("prices", ADDRESS), both), None);
+    assert_eq!(prices.mismatch(&reported("prices", ADDRESS), both), None);
     for service in ["bids", "x1", ""] {
-        let word = told(service, ADDRESS);
-        assert_eq!(prices.mismatch(&word, both), Some(Mismatch::Service));
-        assert_eq!(prices.mismatch(&word, unknown), Some(Mismatch::Service));
+        let report = reported(service, ADDRESS);
+        assert_eq!(prices.mismatch(&report, both), Some(Mismatch::Service));
+        assert_eq!(prices.mismatch(&report, unknown), Some(Mismatch::Service));
     }
     for address in ["10.0.0.1:81", "10.0.0.2:80", "prices:80", ""] {
-        let word = told("prices", address);
-        assert_eq!(prices.mismatch(&word, both), Some(Mismatch::Address));
+        let report = reported("prices", address);
+        assert_eq!(prices.mismatch(&report, both), Some(Mismatch::Address));
     }
 }
 
 #[test]
-fn settings_that_name_a_service_nobody_declares_give_way_to_a_declared_one() {
-    let wrong = beside(Some("x1"));
+fn declared_service_overrides_an_undeclared_service_in_the_settings() {
+    let wrong = configured(Some("x1"));
     let prices = Name::from("prices");
-    let word = told("prices", ADDRESS);
-    assert_eq!(wrong.mismatch(&word, declared(&["prices"])), None);
-    assert_eq!(wrong.mismatch(&word, unknown), Some(Mismatch::Service));
-    let named = wrong.service(Some(&prices)).expect("a name");
+    let report = reported("prices", ADDRESS);
+    assert_eq!(wrong.mismatch(&report, declared(&["prices"])), None);
+    assert_eq!(wrong.mismatch(&report, unknown), Some(Mismatch::Service));
+    let found = wrong.service(Some(&prices)).expect("a service");
     assert_eq!(
-        (named.service, named.origin),
+        (found.service, found.origin),
         (prices, Origin::Registration)
     );
-    let named = wrong.service(None).expect("a name");
-    assert_eq!(named.service.as_str(), "x1");
-    assert_eq!(named.origin, Origin::Settings);
+    let found = wrong.service(None).expect("a service");
+    assert_eq!(found.service.as_str(), "x1");
+    assert_eq!(found.origin, Origin::Settings);
 }
 
 #[test]
-fn settings_without_a_service_leave_it_to_the_upstream() {
-    let silent = beside(None);
-    let word = told("prices", ADDRESS);
-    let stranger = told("x1", ADDRESS);
-    assert_eq!(silent.mismatch(&word, unknown), None);
-    assert_eq!(silent.mismatch(&word, declared(&["prices"])), None);
-    let refused = silent.mismatch(&stranger, declared(&["prices"]));
-    assert_eq!(refused, Some(Mismatch::Service));
-    assert_eq!(silent.service(None), None);
+fn upstream_determines_the_service_if_the_settings_have_none() {
+    let unset = configured(None);
+    let report = reported("prices", ADDRESS);
+    let undeclared = reported("x1", ADDRESS);
+    assert_eq!(unset.mismatch(&report, unknown), None);
+    assert_eq!(unset.mismatch(&report, declared(&["prices"])), None);
+    let mismatch = unset.mismatch(&undeclared, declared(&["prices"]));
+    assert_eq!(mismatch, Some(Mismatch::Service));
+    assert_eq!(unset.service(None), None);
 }
 
-/// One thing that is said to a node.
+/// An input of the node.
 #[derive(Debug, Clone)]
-enum Said {
-    /// A registration: the service, the identity and the count.
+enum Event {
+    /// A registration: index of the service, number of the instance, sequence number.
     Registration(usize, usize, u64),
-    /// The settings now name this service.
+    /// The settings change to this service.
     Settings(usize),
-    /// The declarations now name these services.
+    /// The declarations change to these services.
     Declarations(BTreeSet<usize>),
-    /// Time passes.
-    Passes(u64),
+    /// This time passes, in microseconds.
+    TimePasses(u64),
 }
 
-fn said() -> impl Strategy<Value = Said> {
+fn event() -> impl Strategy<Value = Event> {
     let service = 0..SERVICES.len();
     prop_oneof![
         (service.clone(), 0..3usize, 0..50u64)
-            .prop_map(|(s, id, at)| Said::Registration(s, id, at)),
-        service.clone().prop_map(Said::Settings),
-        proptest::collection::btree_set(service, 0..4).prop_map(Said::Declarations),
-        (0..2 * CONFIRMATION_US).prop_map(Said::Passes),
+            .prop_map(|(s, id, at)| Event::Registration(s, id, at)),
+        service.clone().prop_map(Event::Settings),
+        proptest::collection::btree_set(service, 0..4).prop_map(Event::Declarations),
+        (0..2 * CONFIRMATION_US).prop_map(Event::TimePasses),
     ]
 }
 
 proptest! {
-    /// No word by itself names the calls: the settings and a registration agree on each name but the first one, or the
-    /// settings name what nobody declares.
+    /// A single report never determines the name of the service in which calls are made: every name
+    /// but the first comes from a registration that agreed with the settings, or that the
+    /// declarations confirmed while the settings named an undeclared service.
     #[test]
-    fn calls_are_made_in_a_name_on_which_two_sources_agreed_or_in_that_of_the_settings(
+    fn service_name_is_confirmed_by_two_sources_or_comes_from_the_settings(
         first in 0..SERVICES.len(),
-        steps in proptest::collection::vec(said(), 0..60),
+        steps in proptest::collection::vec(event(), 0..60),
     ) {
-        let mut settings = beside(Some(SERVICES[first]));
-        let mut named: BTreeSet<usize> = BTreeSet::from([first]);
+        let mut settings = configured(Some(SERVICES[first]));
+        let mut declared_services: BTreeSet<usize> = BTreeSet::from([first]);
         let mut local = LocalUpstream::default();
-        let mut agreed = BTreeSet::new();
+        let mut confirmed = BTreeSet::new();
         let mut now = Moment(1);
         for step in steps {
             let declared = |name: &Name| {
-                match named.iter().any(|index| SERVICES[*index] == name.as_str()) {
+                match declared_services.iter().any(|index| SERVICES[*index] == name.as_str()) {
                     true => Declared::Yes,
                     false => Declared::No,
                 }
             };
             match step {
-                Said::Registration(service, id, sequence) => {
-                    let mut instance = told(SERVICES[service], ADDRESS);
+                Event::Registration(service, id, sequence) => {
+                    let mut instance = reported(SERVICES[service], ADDRESS);
                     instance.id = Name::from(format!("i-{id}"));
-                    let goes_on = local.is_current(&instance);
-                    if goes_on || settings.mismatch(&instance, declared).is_none() {
-                        agreed.insert(instance.service.clone());
+                    let is_current = local.is_current(&instance);
+                    if is_current || settings.mismatch(&instance, declared).is_none() {
+                        confirmed.insert(instance.service.clone());
                         let heartbeat = Heartbeat { instance, sequence, cold_ms: 0 };
                         local.on_heartbeat(now, heartbeat);
                     }
                 }
-                Said::Settings(service) => settings.service = Some(Name::from(SERVICES[service])),
-                Said::Declarations(services) => named = services,
-                Said::Passes(us) => now = now + us,
+                Event::Settings(service) => settings.service = Some(Name::from(SERVICES[service])),
+                Event::Declarations(services) => declared_services = services,
+                Event::TimePasses(us) => now = now + us,
             }
-            let believed = local.current().map(|run| run.service.clone());
-            let chosen = settings.service(believed.as_ref()).expect("the settings name one");
+            let registered = local.current().map(|run| run.service.clone());
+            let chosen = settings.service(registered.as_ref()).expect("the settings have a service");
             match chosen.origin {
-                Origin::Registration => prop_assert!(agreed.contains(&chosen.service)),
-                Origin::Settings => prop_assert!(believed.is_none()),
+                Origin::Registration => prop_assert!(confirmed.contains(&chosen.service)),
+                Origin::Settings => prop_assert!(registered.is_none()),
             }
         }
     }
 
     #[test]
-    fn an_upstream_that_goes_on_keeps_its_name_whatever_the_settings_and_others_say(
+    fn running_upstream_keeps_its_service_name_whatever_others_report(
         first in 0..SERVICES.len(),
-        steps in proptest::collection::vec(said(), 0..60),
+        steps in proptest::collection::vec(event(), 0..60),
     ) {
         let own = Name::from(SERVICES[first]);
-        let mut settings = beside(Some(SERVICES[first]));
+        let mut settings = configured(Some(SERVICES[first]));
         let mut local = LocalUpstream::default();
-        let instance = told(SERVICES[first], ADDRESS);
+        let instance = reported(SERVICES[first], ADDRESS);
         let all = declared(&SERVICES);
         let mut now = Moment(1);
         for (count, step) in steps.into_iter().enumerate() {
-            let is_believed = local.is_current(&instance) || settings.mismatch(&instance, all).is_none();
-            prop_assert!(is_believed, "its own word is not believed");
+            let is_accepted = local.is_current(&instance) || settings.mismatch(&instance, all).is_none();
+            prop_assert!(is_accepted, "its own registration is not accepted");
             let instance = instance.clone();
             let sequence = count as u64;
             local.on_heartbeat(now, Heartbeat { instance, sequence, cold_ms: 0 });
             match step {
-                Said::Registration(service, id, _) if service != first => {
-                    let mut other = told(SERVICES[service], ADDRESS);
+                Event::Registration(service, id, _) if service != first => {
+                    let mut other = reported(SERVICES[service], ADDRESS);
                     other.id = Name::from(format!("i-{id}"));
                     prop_assert!(!local.is_current(&other));
-                    let refused = settings.mismatch(&other, all).is_some();
-                    prop_assert!(refused || settings.service.as_ref() != Some(&own));
+                    let is_rejected = settings.mismatch(&other, all).is_some();
+                    prop_assert!(is_rejected || settings.service.as_ref() != Some(&own));
                 }
-                Said::Settings(service) => settings.service = Some(Name::from(SERVICES[service])),
-                Said::Passes(us) => now = now + us,
+                Event::Settings(service) => settings.service = Some(Name::from(SERVICES[service])),
+                Event::TimePasses(us) => now = now + us,
                 _ => {}
             }
-            let believed = local.current().map(|run| run.service.clone());
-            let chosen = settings.service(believed.as_ref());
-            prop_assert_eq!(chosen.map(|named| named.service), Some(own.clone()));
+            let registered = local.current().map(|run| run.service.clone());
+            let chosen = settings.service(registered.as_ref());
+            prop_assert_eq!(chosen.map(|found| found.service), Some(own.clone()));
         }
     }
 }
--- a/components/registry/tests/registry.rs
+++ b/components/registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What a node makes of registrations and records.
+//! Tests of the local upstream's state and of the merging of records.
 
 use names::{BootId, Moment, Name};
 use registry::{
@@ -26,14 +26,14 @@
     }
 }
 
-/// A registration of the start of `a` that began at `born_ms`.
-fn born(born_ms: u64, state: State, sequence: u64) -> Heartbeat {
+/// A registration of the incarnation of `a` that started at `born_ms`.
+fn heartbeat_born(born_ms: u64, state: State, sequence: u64) -> Heartbeat {
     let mut heartbeat = heartbeat("a", state, sequence);
     heartbeat.instance.born_ms = Some(born_ms);
     heartbeat
 }
 
-fn started(born_ms: u64) -> Incarnation {
+fn incarnation_born(born_ms: u64) -> Incarnation {
     Incarnation {
         id: Name::from("a"),
         born_ms: Some(born_ms),
@@ -65,13 +65,13 @@
     }
 }
 
-fn listed(fleet: &Fleet) -> Vec<&str> {
+fn ready_vms(fleet: &Fleet) -> Vec<&str> {
     let halls = fleet.ready("prices");
     halls.flat_map(|(_, vms)| vms).map(Name::as_str).collect()
 }
 
 #[test]
-fn a_registration_that_comes_late_changes_nothing() {
+fn late_registration_is_ignored() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Ready, 1));
     local.on_heartbeat(NOW, heartbeat("a", State::Draining, 5));
@@ -83,97 +83,113 @@
 }
 
 #[test]
-fn a_later_start_of_the_same_identity_takes_work_whatever_the_earlier_one_said() {
+fn new_incarnation_with_the_same_id_is_ready_although_the_earlier_one_drained() {
     let mut local = LocalUpstream::default();
-    local.on_heartbeat(NOW, born(100, State::Draining, 90));
-    let verdict = local.on_heartbeat(NOW, born(200, State::Ready, 0));
+    local.on_heartbeat(NOW, heartbeat_born(100, State::Draining, 90));
+    let verdict = local.on_heartbeat(NOW, heartbeat_born(200, State::Ready, 0));
     assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(
-        local.on_heartbeat(NOW, born(100, State::Draining, 91)),
+        local.on_heartbeat(NOW, heartbeat_born(100, State::Draining, 91)),
         HeartbeatOutcome::Ended
     );
-    assert_eq!(local.on_departure(&started(100)), DepartureOutcome::Known);
+    assert_eq!(
+        local.on_departure(&incarnation_born(100)),
+        DepartureOutcome::Known
+    );
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
-    // Twice in a row.
-    local.on_heartbeat(NOW, born(300, State::Ready, 0));
+    // The same holds for the next incarnation.
+    local.on_heartbeat(NOW, heartbeat_born(300, State::Ready, 0));
     assert_eq!(
-        local.on_heartbeat(NOW, born(200, State::Draining, 5)),
+        local.on_heartbeat(NOW, heartbeat_born(200, State::Draining, 5)),
         HeartbeatOutcome::Ended
     );
     assert_eq!(state_of(&local), Some((Some(300), State::Ready)));
 }
 
 #[test]
-fn a_word_of_an_earlier_start_that_was_never_known_is_not_acknowledged_and_changes_nothing() {
+fn registration_of_an_unknown_earlier_incarnation_is_unconfirmed_and_ignored() {
     let mut local = LocalUpstream::default();
-    local.on_heartbeat(NOW, born(200, State::Ready, 3));
+    local.on_heartbeat(NOW, heartbeat_born(200, State::Ready, 3));
     assert_eq!(
-        local.on_heartbeat(NOW, born(100, State::Draining, 50)),
+        local.on_heartbeat(NOW, heartbeat_born(100, State::Draining, 50)),
         HeartbeatOutcome::Doubted
     );
-    assert_eq!(local.on_departure(&started(100)), DepartureOutcome::Doubted);
+    assert_eq!(
+        local.on_departure(&incarnation_born(100)),
+        DepartureOutcome::Doubted
+    );
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
 }
 
 #[test]
-fn several_late_words_do_not_take_the_place_of_a_start_that_goes_on() {
+fn late_registrations_do_not_replace_an_incarnation_that_keeps_registering() {
     let mut local = LocalUpstream::default();
     let mut now = NOW;
     for step in 0..20 {
         now = now + CONFIRMATION_US / 2;
-        local.on_heartbeat(now, born(200, State::Ready, step));
-        let late = local.on_heartbeat(now + 1, born(100, State::Draining, 50 + step));
+        local.on_heartbeat(now, heartbeat_born(200, State::Ready, step));
+        let late = local.on_heartbeat(now + 1, heartbeat_born(100, State::Draining, 50 + step));
         assert_eq!(late, HeartbeatOutcome::Doubted);
     }
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
 }
 
 #[test]
-fn a_start_whose_clock_was_set_back_is_taken_once_it_goes_on_alone() {
+fn incarnation_whose_clock_was_set_back_becomes_current_after_confirmation() {
     let mut local = LocalUpstream::default();
-    local.on_heartbeat(NOW, born(200, State::Draining, 3));
+    local.on_heartbeat(NOW, heartbeat_born(200, State::Draining, 3));
     let mut sequence = 0;
     let mut now = NOW;
     while now < NOW + CONFIRMATION_US {
-        let verdict = local.on_heartbeat(now, born(100, State::Ready, sequence));
+        let verdict = local.on_heartbeat(now, heartbeat_born(100, State::Ready, sequence));
         assert_eq!(verdict, HeartbeatOutcome::Doubted);
         sequence += 1;
         now = now + CONFIRMATION_US / 3 + 1;
     }
-    // The same word again proves nothing.
-    let again = local.on_heartbeat(now, born(100, State::Ready, sequence - 1));
+    // Repeating the same registration does not confirm the incarnation.
+    let again = local.on_heartbeat(now, heartbeat_born(100, State::Ready, sequence - 1));
     assert_eq!(again, HeartbeatOutcome::Doubted);
-    let verdict = local.on_heartbeat(now, born(100, State::Ready, sequence));
+    let verdict = local.on_heartbeat(now, heartbeat_born(100, State::Ready, sequence));
     assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
 }
 
 #[test]
-fn a_start_that_was_wrongly_taken_for_a_gone_one_returns_with_its_next_word() {
+fn incarnation_that_was_wrongly_replaced_resumes_with_its_next_registration() {
     let mut local = LocalUpstream::default();
-    local.on_heartbeat(NOW, born(200, State::Ready, 3));
-    // Cut off, while words of the earlier start still arrive.
-    local.on_heartbeat(NOW, born(100, State::Ready, 50));
-    local.on_heartbeat(NOW + CONFIRMATION_US, born(100, State::Ready, 51));
+    local.on_heartbeat(NOW, heartbeat_born(200, State::Ready, 3));
+    // The current incarnation can't reach the node, while registrations of the earlier one still
+    // arrive.
+    local.on_heartbeat(NOW, heartbeat_born(100, State::Ready, 50));
+    local.on_heartbeat(NOW + CONFIRMATION_US, heartbeat_born(100, State::Ready, 51));
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
-    let verdict = local.on_heartbeat(NOW + CONFIRMATION_US + 1, born(200, State::Ready, 4));
+    let verdict = local.on_heartbeat(
+        NOW + CONFIRMATION_US + 1,
+        heartbeat_born(200, State::Ready, 4),
+    );
     assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
     assert_eq!(state_of(&local), Some((Some(200), State::Ready)));
-    // One that said that it ends does not.
-    assert_eq!(local.on_departure(&started(200)), DepartureOutcome::Taken);
+    // An incarnation that sent a departure notice does not resume.
+    assert_eq!(
+        local.on_departure(&incarnation_born(200)),
+        DepartureOutcome::Taken
+    );
     assert_eq!(
-        local.on_heartbeat(NOW + CONFIRMATION_US + 2, born(200, State::Ready, 5)),
+        local.on_heartbeat(
+            NOW + CONFIRMATION_US + 2,
+            heartbeat_born(200, State::Ready, 5)
+        ),
         HeartbeatOutcome::Taken(Change::None)
     );
     assert_eq!(state_of(&local), Some((Some(200), State::Gone)));
 }
 
 #[test]
-fn a_start_that_does_not_say_when_it_began_is_known_by_its_identity() {
+fn incarnation_without_a_start_time_is_recognized_by_its_id() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Ready, 3));
     assert_eq!(
-        local.on_heartbeat(NOW, born(100, State::Ready, 4)),
+        local.on_heartbeat(NOW, heartbeat_born(100, State::Ready, 4)),
         HeartbeatOutcome::Taken(Change::Updated)
     );
     assert_eq!(state_of(&local), Some((Some(100), State::Ready)));
@@ -184,7 +200,7 @@
 }
 
 #[test]
-fn a_run_that_drains_never_takes_work_again() {
+fn draining_incarnation_does_not_become_ready_again() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Draining, 1));
     let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 2));
@@ -193,7 +209,7 @@
 }
 
 #[test]
-fn a_run_that_was_followed_by_another_never_comes_back() {
+fn replaced_incarnation_does_not_become_current_with_one_registration() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
     local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
@@ -205,7 +221,7 @@
 }
 
 #[test]
-fn a_start_that_goes_on_comes_back_when_the_one_in_its_place_says_nothing_more() {
+fn replaced_incarnation_resumes_when_its_replacement_stops_registering() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
     local.on_heartbeat(NOW, heartbeat("b", State::Ready, 1));
@@ -215,7 +231,8 @@
         assert_eq!(verdict, HeartbeatOutcome::Ended);
         now = now + CONFIRMATION_US / 2;
     }
-    // The same word again proves nothing, and a word of the other one starts the time anew.
+    // Repeating the same registration does not count, and a registration of the replacement
+    // restarts the confirmation time.
     now = now + CONFIRMATION_US;
     let again = local.on_heartbeat(now, heartbeat("a", State::Ready, 11));
     assert_eq!(again, HeartbeatOutcome::Ended);
@@ -228,8 +245,8 @@
 }
 
 #[test]
-fn a_start_that_goes_on_comes_back_at_once_when_nothing_stands_in_its_place_and_still_drains() {
-    for (state, then) in [
+fn replaced_incarnation_resumes_in_its_last_state_when_its_replacement_is_absent() {
+    for (state, expected) in [
         (State::Ready, State::Ready),
         (State::Draining, State::Draining),
     ] {
@@ -239,15 +256,15 @@
         assert!(local.mark_absent(&incarnation("b")));
         let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Ready, 10));
         assert_eq!(verdict, HeartbeatOutcome::Taken(Change::Replaced));
-        assert_eq!(local.current().map(|run| run.state), Some(then));
-        // The other one was found not to stand there.
+        assert_eq!(local.current().map(|run| run.state), Some(expected));
+        // The replacement was found to be absent, which is final.
         let verdict = local.on_heartbeat(NOW, heartbeat("b", State::Ready, 2));
         assert_eq!(verdict, HeartbeatOutcome::Ended);
     }
 }
 
 #[test]
-fn a_late_registration_still_tells_that_its_start_drains() {
+fn late_registration_that_reports_a_drain_is_applied() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Ready, 9));
     let verdict = local.on_heartbeat(NOW, heartbeat("a", State::Draining, 5));
@@ -258,7 +275,7 @@
 }
 
 #[test]
-fn a_run_that_left_stays_gone_whatever_it_says_later() {
+fn departed_incarnation_stays_gone_when_it_registers_again() {
     let mut local = LocalUpstream::default();
     local.on_heartbeat(NOW, heartbeat("a", State::Ready, 1));
     assert_eq!(
@@ -270,7 +287,7 @@
 }
 
 #[test]
-fn what_other_nodes_remember_of_a_drain_holds_for_a_node_that_started_anew() {
+fn restarted_node_applies_a_drain_that_other_nodes_remember() {
     let mut local = LocalUpstream::default();
     assert!(local.restore_state(&instance("a", State::Draining)));
     assert!(!local.adopt(instance("a", State::Ready)));
@@ -278,20 +295,20 @@
 }
 
 #[test]
-fn only_a_newer_record_is_taken_and_only_ready_upstreams_are_listed() {
+fn only_newer_records_are_applied_and_only_ready_upstreams_listed() {
     let mut fleet = Fleet::new(record("me", 1, 0, None));
     let ready = record("b", 2, 1, Some(instance("x", State::Ready)));
     assert_eq!(fleet.merge(ready.clone()), MergeOutcome::Applied(None));
     assert_eq!(fleet.merge(ready.clone()), MergeOutcome::Same);
     assert_eq!(fleet.merge(record("b", 1, 9, None)), MergeOutcome::Older);
-    assert_eq!(listed(&fleet), ["b"]);
-    let drains = record("b", 2, 2, Some(instance("x", State::Draining)));
-    assert_eq!(fleet.merge(drains), MergeOutcome::Applied(Some(ready)));
-    assert!(listed(&fleet).is_empty());
+    assert_eq!(ready_vms(&fleet), ["b"]);
+    let draining = record("b", 2, 2, Some(instance("x", State::Draining)));
+    assert_eq!(fleet.merge(draining), MergeOutcome::Applied(Some(ready)));
+    assert!(ready_vms(&fleet).is_empty());
 }
 
 #[test]
-fn a_node_rises_above_what_an_earlier_start_of_its_vm_has_told() {
+fn node_supersedes_the_record_of_an_earlier_boot_of_its_vm() {
     let mut fleet = Fleet::new(record("me", 1, 0, None));
     let earlier = Record {
         boot: BootId(77),
@@ -307,28 +324,29 @@
 }
 
 #[test]
-fn of_two_starts_of_a_vm_with_one_version_the_known_one_stays_until_the_other_counts_on() {
+fn known_boot_of_a_vm_is_kept_until_the_other_boot_supersedes_its_version() {
     let mut fleet = Fleet::new(record("me", 1, 0, None));
     let mut first = record("vm", 2, 2, Some(instance("a", State::Draining)));
     first.boot = BootId(11);
     fleet.merge(first.clone());
-    // The later start was not told of the earlier one, and its record has come as far.
+    // The later boot has not received the earlier boot's record, and its own has reached the same
+    // version.
     let mut second = record("vm", 2, 2, Some(instance("a", State::Ready)));
     second.boot = BootId(12);
     assert_eq!(fleet.merge(second.clone()), MergeOutcome::Older);
     assert_eq!(fleet.record(&first.vm), Some(&first));
-    // Told of it, the later start goes above it.
+    // Once it receives that record, the later boot supersedes it.
     let mut own = Fleet::new(second);
     assert_eq!(
         own.merge(first.clone()),
         MergeOutcome::OwnConflict(first.version)
     );
-    let risen = own.supersede(first.version);
-    assert!(matches!(fleet.merge(risen), MergeOutcome::Applied(_)));
+    let superseding = own.supersede(first.version);
+    assert!(matches!(fleet.merge(superseding), MergeOutcome::Applied(_)));
 }
 
 #[test]
-fn a_record_that_an_earlier_version_wrote_into_the_store_is_read() {
+fn stored_record_of_an_earlier_release_is_read() {
     let known = record("vm", 2, 3, Some(instance("a", State::Draining)));
     let earlier = r#"{"vm":"vm","hall":"north","peers":"10.0.0.1:81","boot":2,
         "version":{"generation":2,"change":3},"serving":true,"upstream":{"id":"a","service":"prices",
@@ -341,20 +359,20 @@
 }
 
 #[test]
-fn a_record_with_a_version_that_no_start_reaches_is_not_taken() {
+fn record_with_an_implausible_version_is_rejected() {
     let mut fleet = Fleet::new(record("me", 1, 0, None));
-    let far = u64::from(u32::MAX) + 1;
-    for (generation, change) in [(u64::MAX, 0), (far, 0), (2, far)] {
+    let too_large = u64::from(u32::MAX) + 1;
+    for (generation, change) in [(u64::MAX, 0), (too_large, 0), (2, too_large)] {
         for vm in ["me", "other"] {
-            let offered = record(vm, generation, change, None);
-            assert_eq!(fleet.merge(offered), MergeOutcome::ImplausibleVersion);
+            let implausible = record(vm, generation, change, None);
+            assert_eq!(fleet.merge(implausible), MergeOutcome::ImplausibleVersion);
         }
     }
     assert_eq!(fleet.len(), 1);
 }
 
 #[test]
-fn a_record_that_somebody_changed_under_its_version_is_told_from_the_one_that_is_known() {
+fn record_changed_without_a_new_version_is_reported_as_a_conflict() {
     let known = record("vm", 2, 2, Some(instance("a", State::Ready)));
     let changed = Record {
         upstream: None,
@@ -364,7 +382,7 @@
     other.merge(known.clone());
     assert_eq!(other.merge(changed.clone()), MergeOutcome::Conflict);
     assert_eq!(other.record(&known.vm), Some(&known));
-    // Its own node says anew what holds, whatever start the other one claims to be of.
+    // The node of the VM supersedes the other record, whichever boot that one claims to be from.
     let mut own = Fleet::new(known.clone());
     assert_eq!(own.merge(known.clone()), MergeOutcome::Older);
     assert_eq!(own.merge(changed), MergeOutcome::OwnConflict(known.version));
@@ -377,43 +395,44 @@
 }
 
 #[test]
-fn a_start_that_leaves_by_its_answers_is_drained_whatever_its_registrations_say() {
+fn drain_announced_in_an_answer_overrides_registrations() {
     let mut local = LocalUpstream::default();
-    local.on_heartbeat(NOW, born(5, State::Ready, 0));
-    assert!(!local.on_drain(&started(4)));
-    assert!(local.on_drain(&started(5)));
-    assert!(!local.on_drain(&started(5)));
+    local.on_heartbeat(NOW, heartbeat_born(5, State::Ready, 0));
+    assert!(!local.on_drain(&incarnation_born(4)));
+    assert!(local.on_drain(&incarnation_born(5)));
+    assert!(!local.on_drain(&incarnation_born(5)));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
-    local.on_heartbeat(NOW, born(5, State::Ready, 1));
+    local.on_heartbeat(NOW, heartbeat_born(5, State::Ready, 1));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
-    local.on_heartbeat(NOW, born(6, State::Ready, 0));
+    local.on_heartbeat(NOW, heartbeat_born(6, State::Ready, 0));
     assert_eq!(state_of(&local), Some((Some(6), State::Ready)));
 }
 
 #[test]
-fn a_start_that_left_before_it_registered_here_is_drained_when_it_does() {
+fn drain_announced_before_the_first_registration_is_remembered() {
     let mut local = LocalUpstream::default();
-    assert!(!local.on_drain(&started(5)));
-    local.on_heartbeat(NOW, born(5, State::Ready, 0));
+    assert!(!local.on_drain(&incarnation_born(5)));
+    local.on_heartbeat(NOW, heartbeat_born(5, State::Ready, 0));
     assert_eq!(state_of(&local), Some((Some(5), State::Draining)));
 }
 
-/// The node beside a leaving upstream was killed before it had told anybody, and says anew that its upstream is ready.
+/// Guards against requests to a draining upstream: its node was killed before it announced the
+/// drain, and reports the upstream as ready after its restart.
 #[test]
-fn an_upstream_that_left_by_its_answers_is_not_ready_by_a_later_record_of_the_same_start() {
+fn later_record_of_a_draining_incarnation_does_not_make_it_ready() {
     let mut fleet = Fleet::new(record("vm-0", 1, 0, None));
-    let ready = |fleet: &Fleet| fleet.ready("prices").flat_map(|(_, vms)| vms).count();
-    let start = |id: &str| Some(instance(id, State::Ready));
-    fleet.merge(record("vm-1", 1, 0, start("a")));
-    fleet.merge(record("vm-2", 1, 0, start("b")));
-    assert_eq!(ready(&fleet), 2);
+    let ready_count = |fleet: &Fleet| fleet.ready("prices").flat_map(|(_, vms)| vms).count();
+    let upstream = |id: &str| Some(instance(id, State::Ready));
+    fleet.merge(record("vm-1", 1, 0, upstream("a")));
+    fleet.merge(record("vm-2", 1, 0, upstream("b")));
+    assert_eq!(ready_count(&fleet), 2);
     let digest = fleet.digests().combined();
     assert!(fleet.set_upstream_draining(&Name::from("vm-1"), &incarnation("a")));
     assert!(!fleet.set_upstream_draining(&Name::from("vm-1"), &incarnation("a")));
-    assert_eq!(ready(&fleet), 1);
+    assert_eq!(ready_count(&fleet), 1);
     assert_eq!(fleet.digests().combined(), digest);
-    fleet.merge(record("vm-1", 2, 0, start("a")));
-    assert_eq!(ready(&fleet), 1);
-    fleet.merge(record("vm-1", 2, 1, start("c")));
-    assert_eq!(ready(&fleet), 2);
+    fleet.merge(record("vm-1", 2, 0, upstream("a")));
+    assert_eq!(ready_count(&fleet), 1);
+    fleet.merge(record("vm-1", 2, 1, upstream("c")));
+    assert_eq!(ready_count(&fleet), 2);
 }
--- a/components/registry/tests/spread.rs
+++ b/components/registry/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How records spread over halls, and what a lost message costs.
+//! Tests of the distribution of records over halls, also when messages are lost.
 
 use names::{BootId, Name};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Nodes that all know all.
+/// Nodes that all have all records.
 fn fleets(nodes: usize, halls: usize) -> Vec<Fleet> {
     let all: Vec<Record> = (0..nodes).map(|index| record(index, halls)).collect();
     let mut fleets: Vec<Fleet> = all.iter().cloned().map(Fleet::new).collect();
@@ -44,21 +44,21 @@
     vm.as_str()["vm-".len()..].parse().expect("a number")
 }
 
-/// A message on its way: from, to, record.
-type Told = (usize, usize, Record);
+/// A message in transit: sender, receiver, record.
+type Message = (usize, usize, Record);
 
-/// Delivers messages until none is left; `lost` says which ones get lost. Returns how many crossed
-/// halls.
+/// Delivers messages and those that they cause until none is left. `is_lost` decides about each
+/// message. Returns how many were sent between halls.
 fn deliver(
     fleets: &mut [Fleet],
-    mut waiting: VecDeque<Told>,
-    mut lost: impl FnMut() -> bool,
+    mut pending: VecDeque<Message>,
+    mut is_lost: impl FnMut() -> bool,
 ) -> usize {
     let mut crossings = 0;
-    while let Some((from, to, record)) = waiting.pop_front() {
+    while let Some((from, to, record)) = pending.pop_front() {
         let crosses = fleets[from].own().hall != fleets[to].own().hall;
         crossings += usize::from(crosses);
-        if lost() {
+        if is_lost() {
             continue;
         }
         let sender = vm(from);
@@ -67,38 +67,39 @@
             continue;
         }
         let hall = fleets[to].own().hall.clone();
-        let near = fleets[to].others().filter(|other| other.hall == hall);
-        let near: Vec<usize> = near.map(|other| index_of(&other.vm)).collect();
-        waiting.extend(near.into_iter().map(|other| (to, other, record.clone())));
+        let in_hall = fleets[to].others().filter(|other| other.hall == hall);
+        let in_hall: Vec<usize> = in_hall.map(|other| index_of(&other.vm)).collect();
+        pending.extend(in_hall.into_iter().map(|other| (to, other, record.clone())));
     }
     crossings
 }
 
-/// Changes the record of a node and tells it.
-fn change(fleets: &mut [Fleet], index: usize, lost: impl FnMut() -> bool) -> usize {
+/// Changes and announces the record of a node. Returns how many messages were sent between halls.
+fn change(fleets: &mut [Fleet], index: usize, is_lost: impl FnMut() -> bool) -> usize {
     let record = fleets[index].change_own(|own| own.serving = !own.serving);
-    let told = announcement_targets(&fleets[index], |_| false);
-    let waiting = told
+    let targets = announcement_targets(&fleets[index], |_| false);
+    let pending = targets
         .iter()
         .map(|to| (index, index_of(to), record.clone()))
         .collect();
-    deliver(fleets, waiting, lost)
+    deliver(fleets, pending, is_lost)
 }
 
-/// One node compares with another, as nodes do once a second. Nothing that it learns is passed on.
-fn exchange(fleets: &mut [Fleet], asker: usize, other: usize) {
-    if digest(&fleets[asker]) == digest(&fleets[other]) {
+/// One node compares its records with those of another, as nodes do once a second. Records that it
+/// receives are not forwarded.
+fn exchange(fleets: &mut [Fleet], requester: usize, other: usize) {
+    if digest(&fleets[requester]) == digest(&fleets[other]) {
         return;
     }
-    let told = fleets[other].digests().to_bytes();
-    let told = Digests::from_bytes(&told).expect("digests");
-    let differing = fleets[asker].digests().differing(&told);
-    let for_other_versions = versions(&fleets[asker], differing);
-    let for_asker = compare(&fleets[other], &for_other_versions);
-    merge_all(&mut fleets[asker], for_asker.updates);
-    if for_asker.is_behind {
-        let for_other = compare(&fleets[asker], &versions(&fleets[other], differing));
-        merge_all(&mut fleets[other], for_other.updates);
+    let received = fleets[other].digests().to_bytes();
+    let received = Digests::from_bytes(&received).expect("digests");
+    let differing = fleets[requester].digests().differing(&received);
+    let requester_versions = versions(&fleets[requester], differing);
+    let at_other = compare(&fleets[other], &requester_versions);
+    merge_all(&mut fleets[requester], at_other.updates);
+    if at_other.is_behind {
+        let at_requester = compare(&fleets[requester], &versions(&fleets[other], differing));
+        merge_all(&mut fleets[other], at_requester.updates);
     }
 }
 
@@ -106,14 +107,14 @@
     fleet.digests().combined()
 }
 
-fn merge_all(fleet: &mut Fleet, news: Vec<Record>) {
-    for record in news {
+fn merge_all(fleet: &mut Fleet, updates: Vec<Record>) {
+    for record in updates {
         fleet.merge(record);
     }
 }
 
 #[test]
-fn a_change_reaches_every_node_and_crosses_to_each_hall_a_few_times() {
+fn change_reaches_every_node_with_few_messages_between_halls() {
     let mut fleets = fleets(60, 4);
     let crossings = change(&mut fleets, 7, || false);
     assert_eq!(crossings, 3 * CONTACTS_PER_HALL);
@@ -122,18 +123,18 @@
 }
 
 #[test]
-fn contacts_that_cannot_be_reached_are_passed_over() {
+fn unreachable_contacts_are_skipped() {
     let fleets = fleets(12, 3);
-    let far = Name::from("hall-1");
-    let down = contacts(&fleets[0], &far)[0].clone();
-    let told = announcement_targets(&fleets[0], |vm| *vm == down);
-    assert!(!told.contains(&down));
-    let in_far = told.iter().filter(|vm| index_of(vm) % 3 == 1);
-    assert_eq!(in_far.count(), CONTACTS_PER_HALL);
+    let other_hall = Name::from("hall-1");
+    let down = contacts(&fleets[0], &other_hall)[0].clone();
+    let targets = announcement_targets(&fleets[0], |vm| *vm == down);
+    assert!(!targets.contains(&down));
+    let in_hall = targets.iter().filter(|vm| index_of(vm) % 3 == 1);
+    assert_eq!(in_hall.count(), CONTACTS_PER_HALL);
 }
 
 #[test]
-fn a_node_that_knows_only_one_other_learns_of_all_from_it() {
+fn node_that_knows_one_peer_receives_all_records_from_it() {
     let mut fleets = fleets(30, 3);
     let own = fleets[4].own().clone();
     let other = fleets[20].own().clone();
@@ -144,40 +145,40 @@
 }
 
 #[test]
-fn a_single_difference_among_many_takes_the_versions_of_few_records() {
+fn single_difference_requires_the_versions_of_few_records() {
     let mut fleets = fleets(300, 5);
     let newer = fleets[7].change_own(|own| own.serving = false);
     let differing = fleets[7].digests().differing(fleets[200].digests());
     assert_eq!(differing.count_ones(), 1);
-    let told = versions(&fleets[7], differing);
-    assert!(told.known.len() <= 15, "{} versions", told.known.len());
-    assert!(told.known.contains(&(newer.vm.clone(), newer.version)));
+    let sent = versions(&fleets[7], differing);
+    assert!(sent.known.len() <= 15, "{} versions", sent.known.len());
+    assert!(sent.known.contains(&(newer.vm.clone(), newer.version)));
     fleets[200].merge(newer);
     assert_eq!(digest(&fleets[7]), digest(&fleets[200]));
 }
 
 #[test]
-fn a_record_that_came_and_went_leaves_the_digests_as_they_were() {
+fn adding_and_removing_a_record_restores_the_digests() {
     let mut fleet = fleets(10, 2).remove(0);
     let before = fleet.digests().clone();
-    let stranger = record(77, 2);
-    fleet.merge(stranger.clone());
+    let added = record(77, 2);
+    fleet.merge(added.clone());
     assert_ne!(*fleet.digests(), before);
-    fleet.remove(&stranger.vm);
+    fleet.remove(&added.vm);
     assert_eq!(*fleet.digests(), before);
 }
 
 #[test]
 fn nodes_prefer_different_contacts() {
     let fleets = fleets(60, 2);
-    let far = Name::from("hall-1");
-    let mut asked = vec![0; 60];
-    for fleet in fleets.iter().filter(|fleet| fleet.own().hall != far) {
-        for contact in contacts(fleet, &far).iter().take(CONTACTS_PER_HALL) {
-            asked[index_of(contact)] += 1;
+    let other_hall = Name::from("hall-1");
+    let mut uses = vec![0; 60];
+    for fleet in fleets.iter().filter(|fleet| fleet.own().hall != other_hall) {
+        for contact in contacts(fleet, &other_hall).iter().take(CONTACTS_PER_HALL) {
+            uses[index_of(contact)] += 1;
         }
     }
-    assert!(asked.iter().all(|count| *count <= 8), "{asked:?}");
+    assert!(uses.iter().all(|count| *count <= 8), "{uses:?}");
 }
 
 proptest! {
@@ -187,7 +188,7 @@
     })]
 
     #[test]
-    fn whatever_was_lost_is_found_by_comparisons(
+    fn comparisons_make_up_for_lost_messages(
         nodes in 3usize..24,
         halls in 1usize..5,
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u64>()), 1..12),
@@ -200,11 +201,11 @@
                 losses & 1 == 1
             });
         }
-        // Each node compares with the next one in its hall and with one of another hall.
+        // Each node compares with the next one of its hall and with one of another hall.
         for _ in 0..nodes {
-            for asker in 0..nodes {
-                exchange(&mut fleets, asker, (asker + halls) % nodes);
-                exchange(&mut fleets, asker, (asker + 1) % nodes);
+            for requester in 0..nodes {
+                exchange(&mut fleets, requester, (requester + halls) % nodes);
+                exchange(&mut fleets, requester, (requester + 1) % nodes);
             }
         }
         let first = digest(&fleets[0]);
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn records_that_differ_under_one_version_are_found_by_a_comparison_on_both_sides() {
+fn comparison_detects_conflicting_records_with_one_version_on_both_nodes() {
     let mut fleets = fleets(4, 2);
     let mut changed = record(3, 2);
     changed.serving = false;
@@ -221,14 +222,14 @@
     for record in [record(0, 2), record(2, 2), changed.clone()] {
         other.merge(record);
     }
-    let knows = &mut fleets[0];
-    let differing = knows.digests().differing(other.digests());
+    let original = &mut fleets[0];
+    let differing = original.digests().differing(other.digests());
     assert_ne!(differing, 0);
-    let at_other = compare(&other, &versions(knows, differing));
+    let at_other = compare(&other, &versions(original, differing));
     assert!(at_other.is_behind);
     assert!(at_other.updates.contains(&changed));
-    let at_knows = compare(knows, &versions(&other, differing));
-    assert!(at_knows.is_behind);
-    assert!(at_knows.updates.contains(&record(3, 2)));
-    assert_eq!(knows.merge(changed), MergeOutcome::Conflict);
+    let at_original = compare(original, &versions(&other, differing));
+    assert!(at_original.is_behind);
+    assert!(at_original.updates.contains(&record(3, 2)));
+    assert_eq!(original.merge(changed), MergeOutcome::Conflict);
 }
--- a/components/registry/tests/start.rs
+++ b/components/registry/tests/start.rs
@@ -1,4 +1,5 @@
-//! Whom a node that starts asks first, and which of its records may wait.
+//! Tests of the nodes that a starting node connects to first, and of the records whose announcement
+//! it may defer.
 
 use names::{BootId, Name};
 use registry::{can_defer, is_replaced, start_contacts, Fleet, Instance, Record, State, Version};
@@ -27,35 +28,36 @@
     fleet
 }
 
-/// How many nodes of its own hall and of others a node asks.
-fn asked(fleet: &Fleet, count: usize, down: &[Name]) -> (usize, usize) {
-    let asked = start_contacts(fleet, count, |_| false, |vm| down.contains(vm));
-    assert!(asked.iter().all(|vm| !down.contains(vm)));
+/// Numbers of first contacts in the own hall and in other halls.
+fn contact_counts(fleet: &Fleet, count: usize, down: &[Name]) -> (usize, usize) {
+    let contacts = start_contacts(fleet, count, |_| false, |vm| down.contains(vm));
+    assert!(contacts.iter().all(|vm| !down.contains(vm)));
     let own = &fleet.own().hall;
-    let is_near = |vm: &&Name| fleet.record(vm).is_some_and(|found| found.hall == *own);
-    let near = asked.iter().filter(is_near).count();
-    (near, asked.len() - near)
+    let is_in_hall = |vm: &&Name| fleet.record(vm).is_some_and(|found| found.hall == *own);
+    let in_hall = contacts.iter().filter(is_in_hall).count();
+    (in_hall, contacts.len() - in_hall)
 }
 
-/// Guards against a hall that starts at once and asks only itself: all contacts were of the own hall.
+/// Guards against nodes of a hall that start together and connect only to one another: all contacts
+/// were in the own hall.
 #[test]
-fn one_of_the_first_contacts_stands_in_another_hall() {
+fn one_of_the_first_contacts_is_in_another_hall() {
     let fleet = fleet(60, 4);
-    assert_eq!(asked(&fleet, 4, &[]), (3, 1));
-    assert_eq!(asked(&fleet, 2, &[]), (1, 1));
+    assert_eq!(contact_counts(&fleet, 4, &[]), (3, 1));
+    assert_eq!(contact_counts(&fleet, 2, &[]), (1, 1));
 }
 
 #[test]
-fn first_contacts_that_cannot_be_reached_are_passed_over() {
+fn unreachable_first_contacts_are_skipped() {
     let fleet = fleet(60, 4);
     let down = start_contacts(&fleet, 4, |_| false, |_| false);
-    assert_eq!(asked(&fleet, 4, &down), (3, 1));
+    assert_eq!(contact_counts(&fleet, 4, &down), (3, 1));
 }
 
-/// Guards against further connections with each record that arrives: each changes the order of the contacts, and a node
-/// opened five connections where four are allowed.
+/// Guards against exceeding the limit while records arrive: each record changes the order of the
+/// contacts, and a node opened five connections where four are allowed.
 #[test]
-fn contacts_that_are_connected_count_while_records_arrive() {
+fn connected_contacts_count_towards_the_limit_while_records_arrive() {
     let mut fleet = fleet(1, 4);
     let mut connected = Vec::new();
     for index in 1..60 {
@@ -66,16 +68,16 @@
         assert!(connected.len() <= count, "{connected:?}");
     }
     assert_eq!(connected.len(), 4);
-    let is_far = |vm: &&Name| fleet.record(vm).is_some_and(|r| r.hall != fleet.own().hall);
-    assert!(connected.iter().any(|vm| is_far(&vm)));
+    let is_remote = |vm: &&Name| fleet.record(vm).is_some_and(|r| r.hall != fleet.own().hall);
+    assert!(connected.iter().any(|vm| is_remote(&vm)));
 }
 
 #[test]
-fn a_fleet_of_one_hall_or_of_one_node_in_each_is_asked_as_far_as_it_goes() {
-    assert_eq!(asked(&fleet(20, 1), 4, &[]), (4, 0));
-    assert_eq!(asked(&fleet(4, 4), 4, &[]), (0, 3));
-    assert_eq!(asked(&fleet(1, 1), 4, &[]), (0, 0));
-    assert_eq!(asked(&fleet(60, 4), 0, &[]), (0, 0));
+fn small_fleet_yields_as_many_contacts_as_it_has() {
+    assert_eq!(contact_counts(&fleet(20, 1), 4, &[]), (4, 0));
+    assert_eq!(contact_counts(&fleet(4, 4), 4, &[]), (0, 3));
+    assert_eq!(contact_counts(&fleet(1, 1), 4, &[]), (0, 0));
+    assert_eq!(contact_counts(&fleet(60, 4), 0, &[]), (0, 0));
 }
 
 fn upstream(id: &str, state: State) -> Instance {
@@ -89,30 +91,35 @@
     }
 }
 
-fn naming(upstream: Option<Instance>) -> Record {
+fn record_with(upstream: Option<Instance>) -> Record {
     Record {
         upstream,
         ..record(0, 1)
     }
 }
 
-/// Guards against requests for a drained upstream, and against a connection to the whole hall for each record at a start.
+/// Guards against requests to a drained upstream, and against connections to all nodes of the hall
+/// for each record during startup.
 #[test]
-fn only_a_record_by_which_the_upstream_takes_work_or_none_is_known_may_wait() {
-    assert!(can_defer(&naming(None)));
-    assert!(can_defer(&naming(Some(upstream("i-1", State::Ready)))));
-    assert!(!can_defer(&naming(Some(upstream("i-1", State::Draining)))));
-    assert!(!can_defer(&naming(Some(upstream("i-1", State::Gone)))));
-    let leaving = Record {
+fn only_a_record_with_a_ready_upstream_or_none_is_deferred() {
+    assert!(can_defer(&record_with(None)));
+    assert!(can_defer(&record_with(Some(upstream("i-1", State::Ready)))));
+    assert!(!can_defer(&record_with(Some(upstream(
+        "i-1",
+        State::Draining
+    )))));
+    assert!(!can_defer(&record_with(Some(upstream("i-1", State::Gone)))));
+    let stopping = Record {
         serving: false,
-        ..naming(None)
+        ..record_with(None)
     };
-    assert!(!can_defer(&leaving));
+    assert!(!can_defer(&stopping));
 }
 
-/// Guards against a record that waits although the upstream which it no longer names still gets requests.
+/// Guards against deferring a record that no longer contains an upstream while that upstream still
+/// gets requests.
 #[test]
-fn an_upstream_that_is_gone_or_stands_no_longer_at_its_address_is_replaced() {
+fn upstream_absent_from_the_new_record_is_replaced() {
     let first = upstream("i-1", State::Ready);
     let next = upstream("i-2", State::Ready);
     assert!(is_replaced(Some(&first), None));
