--- a/components/daemon/src/boot_record.rs
+++ b/components/daemon/src/boot_record.rs
@@ -4,7 +4,7 @@
 use crate::local;
 use crate::node::Node;
 use crate::recovery;
-use crate::watching::{rest, LEAST_PAUSE_MS};
+use crate::watching::{back_off, MIN_PAUSE_MS};
 use errors::{Error, Result, Step};
 use keys::{KeyHash, KEY_RETENTION_US};
 use names::{Moment, Name};
@@ -31,7 +31,7 @@
 /// done, a key without a record may have been used.
 pub async fn run(node: Rc<Node>) {
     let started = node.now();
-    let mut pause = LEAST_PAUSE_MS;
+    let mut pause = MIN_PAUSE_MS;
     node.claims
         .borrow_mut()
         .set_uncertain_until(Moment(u64::MAX));
@@ -41,18 +41,18 @@
             Ok(false) => {
                 tracing::warn!("the predecessor was not stopped as planned; its keys are unknown");
                 node.unclean_until.set(started + KEY_RETENTION_US);
-                certain(&node);
+                reset_uncertainty(&node);
                 recovery::run(node).await;
                 return;
             }
             Err(error) => tracing::debug!(%error, "the record of boots was not written"),
         }
-        pause = rest(pause).await;
+        pause = back_off(pause).await;
     }
 }
 
 /// Leaves the keys of this boot for its successor. Part of a planned stop.
-pub async fn hand_over(node: &Rc<Node>) -> Result<()> {
+pub async fn save_keys(node: &Rc<Node>) -> Result<()> {
     let key = boot_key(&node.cfg.vm);
     let current = node.platform.read(&key).await?;
     let version = current.map(|object| object.version);
@@ -127,13 +127,13 @@
     node.keys.borrow_mut().adopt_keys(now, &record.keys);
     node.claims.borrow_mut().adopt_keys(now, &record.keys);
     if record.known {
-        certain(node);
+        reset_uncertainty(node);
     }
     record.known
 }
 
 /// Takes in that the process was paused.
-pub fn paused(node: &Rc<Node>) {
+pub fn on_pause(node: &Rc<Node>) {
     if node.checking_pause.replace(true) {
         return;
     }
@@ -145,7 +145,7 @@
 }
 
 /// This boot is the latest; it knows every key used since it can.
-pub fn certain(node: &Rc<Node>) {
+pub fn reset_uncertainty(node: &Rc<Node>) {
     let mut claims = node.claims.borrow_mut();
     claims.clear_uncertainty();
     claims.set_uncertain_until(node.unclean_until.get());
@@ -155,13 +155,13 @@
 /// without a record may have been used.
 pub async fn run_after_pause(node: Rc<Node>) {
     let key = boot_key(&node.cfg.vm);
-    let mut pause = LEAST_PAUSE_MS;
+    let mut pause = MIN_PAUSE_MS;
     loop {
         match node.platform.read(&key).await {
             Ok(Some(object)) => {
                 let record = serde_json::from_slice::<BootRecord>(&object.value);
                 if record.is_ok_and(|record| record.boot == node.boot.0) {
-                    certain(&node);
+                    reset_uncertainty(&node);
                     node.checking_pause.set(false);
                     tracing::info!("still the latest boot after a pause");
                 } else {
@@ -172,7 +172,7 @@
             Ok(None) => return,
             Err(error) => tracing::debug!(%error, "the record of boots was not read"),
         }
-        pause = rest(pause).await;
+        pause = back_off(pause).await;
     }
 }
 
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -158,7 +158,11 @@
         }
         let now = node.now();
         let first_read = *node.first_read.borrow();
-        let until = first_read.caller_wait_deadline(arrived, time_us, watching::is_read(node));
+        let until = first_read.caller_wait_deadline(
+            arrived,
+            time_us,
+            watching::is_reading_declarations(node),
+        );
         if now >= until {
             return None;
         }
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -29,14 +29,14 @@
 
 /// Pause between two steps of work on declarations, in which requests are served: long enough that
 /// sockets are probed at.
-pub const BREATH: Duration = Duration::from_millis(1);
+pub const STEP_PAUSE: Duration = Duration::from_millis(1);
 
 /// Takes in a revision; tells peers when it is new. Requests are served by the one before it until it
 /// is checked.
 ///
 /// The check goes on when the caller is given up meanwhile: a revision whose check was dropped half-way would
 /// count as being checked for ever, and be taken from nobody.
-pub async fn take_in(
+pub async fn apply_revision(
     node: &Rc<Node>,
     unchecked: impl Into<UncheckedRevision>,
     origin: Origin,
@@ -71,7 +71,7 @@
                 }
                 // Without declarations no request can be served in the pause, and other work would only delay them.
                 if node.in_force().is_some() {
-                    task::sleep(BREATH).await;
+                    task::sleep(STEP_PAUSE).await;
                 }
             };
             let before = node.in_force();
@@ -103,7 +103,7 @@
 }
 
 /// Takes in a list of VMs; tells peers when it is new.
-pub fn take_in_vms(node: &Rc<Node>, list: VmList) {
+pub fn apply_vm_list(node: &Rc<Node>, list: VmList) {
     let version = list.version;
     if !node.view.borrow_mut().update(list) {
         return;
@@ -117,13 +117,13 @@
 
 /// Takes in what a peer knows: asks for what is newer there, or tells it that something is newer here.
 /// Content is sent only to who wants it.
-pub fn compare(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
-    store::heard(node, from, theirs);
-    let has_newer_evacuations = watching::evacuations_heard(node, from, theirs.evacuated.as_ref());
+pub fn on_summary(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
+    store::on_summary(node, from, theirs);
+    let has_newer_evacuations = watching::on_evacuations(node, from, theirs.evacuated.as_ref());
     let mine = node.summary();
     if theirs.is_in_sync_with(&mine) {
         node.rollout.borrow_mut().advance_read_at(theirs.read_at);
-        watching::confirmed_by(node, from, theirs);
+        watching::on_confirmation(node, from, theirs);
     }
     if theirs.is_newer_than(&mine) {
         ask(node, from, theirs, reply);
@@ -134,7 +134,7 @@
 
 /// Asks a peer for what is newer there, unless it is on its way or the store is about to give it.
 fn ask(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
-    if watching::allowed(node) == AllowedWork::Nothing {
+    if watching::allowed_work(node) == AllowedWork::Nothing {
         // Asked again, the store would send the same once more over the same link. The peer tells this only once, so
         // it is asked later.
         if let Some(registration) = &node.registration {
@@ -157,7 +157,7 @@
         revision: mine.revision,
         awaits_store: node.watch.borrow().is_watching(),
         // A store that has not answered the first read is not asked beside it.
-        can_read_store: node.registration.is_some() && !watching::is_first_read(node),
+        can_read_store: node.registration.is_some() && !watching::awaits_first_read(node),
     };
     let now = node.now();
     let told = node
@@ -186,8 +186,8 @@
 
 /// Sends this node's summary to the peers that told of something newer while nobody was asked; they answer with theirs if
 /// that is still newer.
-pub fn ask_postponed(node: &Rc<Node>, registration: &Registration) {
-    let allowed = watching::allowed(node);
+pub fn query_postponed(node: &Rc<Node>, registration: &Registration) {
+    let allowed = watching::allowed_work(node);
     let due = registration.postponed.borrow_mut().take_due(allowed);
     for reply in due {
         reply.send(node, Frame::Summary(node.summary()));
@@ -196,14 +196,14 @@
 
 /// Reads a large revision from the store; if that fails, a peer that tells of it again is asked.
 async fn read(node: Rc<Node>) {
-    if let Err(error) = watching::read_anew(&node).await {
+    if let Err(error) = watching::read_declarations(&node).await {
         tracing::info!(%error, "the store did not give what a peer knows");
         node.fetch.borrow_mut().store_failed();
     }
 }
 
 /// Sends a peer the content of what is newer here.
-pub fn wanted(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
+pub fn on_want(node: &Rc<Node>, from: &Name, theirs: &Summary, reply: &Reply) {
     let mine = node.summary();
     if mine.has_newer_content_than(theirs) {
         let lacking = node.rollout.borrow().delta_for(theirs.content_id);
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -44,7 +44,7 @@
         return RelayOutcome::Unknown(Reason::NotCoordinator);
     };
     if node.was_paused() {
-        boot_record::paused(node);
+        boot_record::on_pause(node);
     }
     let standing = CoordinatorView {
         own_vm: node.cfg.vm.clone(),
@@ -115,7 +115,7 @@
 fn grant(node: &Rc<Node>, key: KeyHash, vm: &Name, by: BootId) -> ClaimReply<SharedAnswer> {
     let now = node.now();
     if node.was_paused() {
-        boot_record::paused(node);
+        boot_record::on_pause(node);
     }
     let (reply, ran) = node.claims.borrow_mut().claim(now, key, vm, by);
     match reply {
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -108,7 +108,7 @@
     }
     let key = key.filter(|_| !node.jobs.borrow().contains_key(&offer.id))?;
     if node.was_paused() {
-        boot_record::paused(node);
+        boot_record::on_pause(node);
     }
     let now = node.now();
     let claim = node
@@ -329,7 +329,7 @@
         }
         let now = node.now();
         if node.was_paused() {
-            boot_record::paused(&node);
+            boot_record::on_pause(&node);
             with_home(&node, |home| {
                 home.paused(now);
                 Vec::new()
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -23,12 +23,12 @@
         } => home_driver::on_offer(node, from, offer, key, req, reply.clone()),
         Frame::Claim { id, key } => coordinator::on_claim(node, from, id, key, reply),
         Frame::Claimed { id, reply } => coordinator::on_claim_reply(node, id, reply),
-        Frame::Recover { id } => recovery::asked(node, from, id, reply),
+        Frame::Recover { id } => recovery::on_recover(node, from, id, reply),
         Frame::Recovered {
             id,
             keys,
             uncertain_us,
-        } => recovery::answered(node, id, keys.map(|keys| (keys, uncertain_us))),
+        } => recovery::on_recovered(node, id, keys.map(|keys| (keys, uncertain_us))),
         Frame::Release { by, key } => node.claims.borrow_mut().release(key, by),
         Frame::Ask { id, boot } => home_driver::on_query(node, id, boot, reply.clone()),
         Frame::Cancel { id } => home_driver::cancel(node, id),
@@ -132,17 +132,19 @@
                 }
             }
         }
-        Frame::Summary(summary) => configuration::compare(node, from, &summary, reply),
-        Frame::Watch { notice, summary } => watching::heard(node, from, notice, &summary, reply),
-        Frame::Want(summary) => configuration::wanted(node, from, &summary, reply),
+        Frame::Summary(summary) => configuration::on_summary(node, from, &summary, reply),
+        Frame::Watch { notice, summary } => {
+            watching::on_notice(node, from, notice, &summary, reply)
+        }
+        Frame::Want(summary) => configuration::on_want(node, from, &summary, reply),
         Frame::Configuration(configuration) => {
             let (node, from) = (node.clone(), from.clone());
             crate::local::spawn(async move {
                 let configuration = Arc::unwrap_or_clone(configuration);
-                configuration::take_in(&node, configuration, Origin::Peer(from)).await;
+                configuration::apply_revision(&node, configuration, Origin::Peer(from)).await;
             });
         }
-        Frame::Vms(list) => configuration::take_in_vms(node, (*list).clone()),
+        Frame::Vms(list) => configuration::apply_vm_list(node, (*list).clone()),
         Frame::Quota(message) => {
             let in_force = node.in_force();
             let accounts = in_force.as_ref().map(|it| &it.declarations.accounts);
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -373,7 +373,7 @@
         }
         Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::NodeGone(*id)),
         Frame::Relay { id, .. } => relay::relayed(node, *id, Relayed::NotSent),
-        Frame::Recover { id } => recovery::answered(node, *id, None),
+        Frame::Recover { id } => recovery::on_recovered(node, *id, None),
         Frame::Claim { id, .. } => coordinator::on_claim_reply(node, *id, ClaimReply::Uncertain),
         _ => {}
     }
@@ -404,7 +404,7 @@
         coordinator::on_claim_reply(node, id, ClaimReply::Uncertain);
     }
     for id in waiting_at(&node.recoveries.borrow(), vm) {
-        recovery::answered(node, id, None);
+        recovery::on_recovered(node, id, None);
     }
 }
 
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -228,7 +228,8 @@
                 tx.try_send(was_known).ok();
             }
             Command::Push(configuration, tx) => {
-                let offered = configuration::take_in(&node, *configuration, Origin::Operator).await;
+                let offered =
+                    configuration::apply_revision(&node, *configuration, Origin::Operator).await;
                 tx.try_send(offered).ok();
             }
         }
@@ -255,8 +256,8 @@
             .unwrap_or_default(),
         list_version: node.view.borrow().list().version,
         confirmed_us_ago: node.watch.borrow().age_us(node.now()),
-        store_era: store::known(node).map(|era| era.0),
-        store_revision: store::place(node).map(|place| place.revision),
+        store_era: store::known_era(node).map(|era| era.0),
+        store_revision: store::read_position(node).map(|position| position.revision),
         platform_reachable: node.platform_state.borrow().reachable,
         leaving: load.leaving,
         in_flight: load.in_flight,
--- a/components/daemon/src/recovery.rs
+++ b/components/daemon/src/recovery.rs
@@ -6,7 +6,7 @@
 //! as well. It stays uncertain for as long as the most uncertain of those that answered: by then
 //! the windows of such keys have passed.
 
-use crate::boot_record::{certain, used_keys};
+use crate::boot_record::{reset_uncertainty, used_keys};
 use crate::links::{self, Reply};
 use crate::node::{KnownKeys, Node};
 use async_std::future::timeout;
@@ -34,7 +34,7 @@
             let until = node.unclean_until.get().min(now + uncertain_us);
             node.unclean_until.set(until);
             if !node.checking_pause.get() {
-                certain(&node);
+                reset_uncertainty(&node);
             }
             let uncertain_s = uncertain_us / SECOND;
             tracing::info!(
@@ -49,9 +49,9 @@
 }
 
 /// A new boot of the VM `from` asks.
-pub fn asked(node: &Rc<Node>, from: &Name, id: AttemptId, reply: &Reply) {
+pub fn on_recover(node: &Rc<Node>, from: &Name, id: AttemptId, reply: &Reply) {
     if node.was_paused() {
-        crate::boot_record::paused(node);
+        crate::boot_record::on_pause(node);
     }
     let now = node.now();
     let latest = node.claims.borrow_mut().register_boot(from, id.boot);
@@ -69,7 +69,7 @@
 }
 
 /// Takes in an answer.
-pub fn answered(node: &Rc<Node>, id: AttemptId, known: Option<KnownKeys>) {
+pub fn on_recovered(node: &Rc<Node>, id: AttemptId, known: Option<KnownKeys>) {
     if let Some((tx, _)) = node.recoveries.borrow().get(&id) {
         tx.try_send(known).ok();
     }
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -7,7 +7,7 @@
 use crate::links;
 use crate::local;
 use crate::node::Node;
-use crate::store::called;
+use crate::store::platform_call;
 use async_std::task;
 use audit::stats;
 use audit::Purpose;
@@ -127,13 +127,13 @@
     let value =
         serde_json::to_vec(record).map_err(|error| Error::new(Step::Platform, vm, error))?;
     let create = store.put(kind, vm, None, &value);
-    let Put::Conflict(Some(object)) = called(node, Purpose::OwnRecord, create).await? else {
+    let Put::Conflict(Some(object)) = platform_call(node, Purpose::OwnRecord, create).await? else {
         return Ok(());
     };
     if decode(&object).is_ok_and(|found| found.version >= record.version) {
         return Ok(());
     }
     let replace = store.put(kind, vm, Some(object.revision), &value);
-    called(node, Purpose::OwnRecord, replace).await?;
+    platform_call(node, Purpose::OwnRecord, replace).await?;
     Ok(())
 }
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -59,7 +59,7 @@
 pub fn tell_all(node: &Rc<Node>, registration: &Registration, own: &Record) {
     let is_deferred = registry::can_defer(own)
         && !registration.upstream_replaced.get()
-        && watching::allowed(node) != AllowedWork::Everything;
+        && watching::allowed_work(node) != AllowedWork::Everything;
     registration.announcement_deferred.set(is_deferred);
     let fleet = registration.fleet.borrow();
     let mut told = registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm));
@@ -281,8 +281,8 @@
 /// better: a later record of this node, by which its upstream may be drained, and which halls are evacuated.
 async fn dial_contacts(node: &Rc<Node>, registration: &Registration) {
     loop {
-        configuration::ask_postponed(node, registration);
-        let count = match watching::allowed(node) {
+        configuration::query_postponed(node, registration);
+        let count = match watching::allowed_work(node) {
             AllowedWork::Everything => return,
             AllowedWork::Nothing => RECORD_DIALS,
             AllowedWork::Contacts => CONTACT_DIALS,
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -10,8 +10,8 @@
 use crate::local;
 use crate::node::Node;
 use crate::store;
-use crate::store::called;
-use crate::watching::{rest, set_reachable, LEAST_PAUSE_MS};
+use crate::store::platform_call;
+use crate::watching::{back_off, set_reachable, MIN_PAUSE_MS};
 use async_std::future::timeout;
 use async_std::task;
 use audit::Purpose;
@@ -124,7 +124,7 @@
     let kind = registration.adapter.records();
     let store = registration.adapter.store();
     let remove = store.remove(kind, node.cfg.vm.as_str());
-    match timeout(limit, called(node, Purpose::OwnRecord, remove)).await {
+    match timeout(limit, platform_call(node, Purpose::OwnRecord, remove)).await {
         Ok(Ok(())) => tracing::info!("this node's record was removed"),
         Ok(Err(error)) => tracing::info!(%error, "this node's record was not removed"),
         Err(_) => tracing::info!("this node's record was not removed in time"),
@@ -148,11 +148,11 @@
 
 /// Reads the others' records until the store has answered or another node has told them.
 async fn learn(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
-    let mut pause = LEAST_PAUSE_MS;
+    let mut pause = MIN_PAUSE_MS;
     while let Err(error) = list(node, registration, stands, Reading::MayLag).await {
         set_reachable(node, false);
         tracing::info!(%error, "the store gave no records");
-        pause = rest(pause).await;
+        pause = back_off(pause).await;
         if knows_others(registration) {
             break;
         }
@@ -187,7 +187,7 @@
 ) -> Result<()> {
     let kind = registration.adapter.records();
     let list = registration.adapter.store().list(kind, reading);
-    let listing = called(node, Purpose::Fleet, list).await?;
+    let listing = platform_call(node, Purpose::Fleet, list).await?;
     audit::listed(listing.objects.len(), listing.at);
     for object in &listing.objects {
         let record = match decode(object) {
@@ -234,11 +234,11 @@
 }
 
 async fn write_until_done(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
-    let mut pause = LEAST_PAUSE_MS;
+    let mut pause = MIN_PAUSE_MS;
     while let Err(error) = write(node, registration, stands).await {
         set_reachable(node, false);
         tracing::info!(%error, "the store did not take this node's record");
-        pause = rest(pause).await;
+        pause = back_off(pause).await;
     }
     set_reachable(node, true);
 }
@@ -255,7 +255,7 @@
         let value =
             serde_json::to_vec(&own).map_err(|error| Error::new(Step::Platform, &own.vm, error))?;
         let put = store.put(kind, own.vm.as_str(), stands.revision, &value);
-        let put = called(node, Purpose::OwnRecord, put).await;
+        let put = platform_call(node, Purpose::OwnRecord, put).await;
         if put.is_err() {
             registration.eras.borrow_mut().write_unanswered(node.now());
         }
@@ -272,7 +272,7 @@
                     Ok(found) => {
                         *stands = Stands::of(&object, &found);
                         if found == own {
-                            offer::done(node, registration, store::known(node));
+                            offer::done(node, registration, store::known_era(node));
                             return Ok(());
                         }
                         containment::succeed(node, registration, &found);
--- a/components/daemon/src/reload.rs
+++ b/components/daemon/src/reload.rs
@@ -37,7 +37,7 @@
 
 impl Live {
     /// The part of `cfg` that may change.
-    pub fn of(cfg: &Settings) -> Live {
+    pub fn from_settings(cfg: &Settings) -> Live {
         Live {
             service: cfg.service.clone(),
             upstream: cfg.upstream,
@@ -76,7 +76,7 @@
 
 /// Whether what follows from the settings has to be worked out anew.
 fn take_in(live: &RefCell<Live>, cfg: &Settings, by_signal: bool) -> bool {
-    let next = Live::of(cfg);
+    let next = Live::from_settings(cfg);
     let before = live.replace(next.clone());
     if before == next && !by_signal {
         return false;
--- a/components/daemon/src/stop.rs
+++ b/components/daemon/src/stop.rs
@@ -76,7 +76,7 @@
 }
 
 async fn hand_over(node: &Rc<Node>) {
-    let handed = async_std::future::timeout(HAND_OVER_LIMIT, boot_record::hand_over(node)).await;
+    let handed = async_std::future::timeout(HAND_OVER_LIMIT, boot_record::save_keys(node)).await;
     match handed {
         Ok(Ok(())) => {}
         Ok(Err(error)) => tracing::warn!(%error, "the keys were not handed over"),
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -16,7 +16,7 @@
 use wire::Frame;
 
 /// Makes a call, counts it and writes a line.
-pub async fn called<T>(
+pub async fn platform_call<T>(
     node: &Rc<Node>,
     purpose: Purpose,
     call: impl Future<Output = Result<T>>,
@@ -31,14 +31,14 @@
 }
 
 /// Highest era of the store that is known; none where it tells none.
-pub fn known(node: &Node) -> Option<Era> {
+pub fn known_era(node: &Node) -> Option<Era> {
     let registration = node.registration.as_ref()?;
     let eras = registration.eras.borrow();
     eras.known()
 }
 
 /// Up to where the declarations were read in the present era.
-pub fn place(node: &Node) -> Option<Position> {
+pub fn read_position(node: &Node) -> Option<Position> {
     let registration = node.registration.as_ref()?;
     let eras = registration.eras.borrow();
     eras.position()
@@ -55,7 +55,7 @@
 }
 
 /// Takes in the era that another node knows.
-pub fn heard(node: &Rc<Node>, from: &Name, theirs: &Summary) {
+pub fn on_summary(node: &Rc<Node>, from: &Name, theirs: &Summary) {
     let Some(registration) = node.registration.clone() else {
         return;
     };
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -7,7 +7,7 @@
 use crate::links;
 use crate::node::Node;
 use crate::registration::{self, Registration};
-use crate::store::called;
+use crate::store::platform_call;
 use audit::stats;
 use audit::Purpose;
 use errors::Result;
@@ -36,7 +36,7 @@
     let kind = registration.adapter.evacuations();
     let watch = registration.adapter.store();
     let watch = watch.watch(kind, after.revision, wait);
-    let watched = called(node, Purpose::Watch, watch).await?;
+    let watched = platform_call(node, Purpose::Watch, watch).await?;
     if registration.eras.borrow().known() != after.era {
         return list(node, &registration).await;
     }
@@ -63,7 +63,7 @@
 async fn list(node: &Rc<Node>, registration: &Rc<Registration>) -> Result<()> {
     let kind = registration.adapter.evacuations();
     let list = registration.adapter.store().list(kind, Reading::Newest);
-    let listing = called(node, Purpose::Evacuations, list).await?;
+    let listing = platform_call(node, Purpose::Evacuations, list).await?;
     let told = Evacuated {
         as_of: listing.at,
         halls: listing
@@ -77,7 +77,7 @@
 }
 
 /// Takes in what another node knows. Returns whether this node knows something newer.
-pub fn heard(node: &Rc<Node>, from: &Name, theirs: Option<&Evacuated>) -> bool {
+pub fn on_report(node: &Rc<Node>, from: &Name, theirs: Option<&Evacuated>) -> bool {
     let Some(registration) = node.registration.clone() else {
         return false;
     };
--- a/components/daemon/src/watching/freshness.rs
+++ b/components/daemon/src/watching/freshness.rs
@@ -31,12 +31,12 @@
 
 /// Another node that holds the same as this one told when that was confirmed. What comes from another hall is
 /// passed on in this one, with its age.
-pub fn confirmed_by(node: &Rc<Node>, from: &Name, theirs: &Summary) {
+pub fn on_confirmation(node: &Rc<Node>, from: &Name, theirs: &Summary) {
     let Some(age_us) = theirs.confirmed_us_ago else {
         return;
     };
     let now = node.now();
-    if age_us > now.0 || theirs.era != store::known(node) {
+    if age_us > now.0 || theirs.era != store::known_era(node) {
         // Before this node ran, or of an era of the store that is over.
         return;
     }
--- a/components/daemon/src/watching/listed.rs
+++ b/components/daemon/src/watching/listed.rs
@@ -5,7 +5,7 @@
 use crate::links;
 use crate::local;
 use crate::node::Node;
-use crate::store::called;
+use crate::store::platform_call;
 use async_std::task;
 use audit::Origin;
 use audit::Purpose;
@@ -31,7 +31,7 @@
     let found = match manner {
         Manner::Wait => {
             let watch = node.platform.watch(HEAD_KEY, known, WATCH);
-            called(node, Purpose::Watch, watch).await?
+            platform_call(node, Purpose::Watch, watch).await?
         }
         Manner::Start | Manner::Now => read_head(node).await?,
     };
@@ -50,7 +50,7 @@
         Manner::Start | Manner::Now => (Duration::ZERO, Purpose::Fleet),
     };
     let watch = node.platform.watch_vms(after, wait);
-    if let Some(object) = called(node, purpose, watch).await? {
+    if let Some(object) = platform_call(node, purpose, watch).await? {
         take_vms(node, object)?;
     }
     Ok(())
@@ -67,7 +67,7 @@
 
 async fn read_head(node: &Rc<Node>) -> Result<Option<Object>> {
     let read = node.platform.read(HEAD_KEY);
-    called(node, Purpose::Declarations, read).await
+    platform_call(node, Purpose::Declarations, read).await
 }
 
 async fn take_head(node: &Rc<Node>, object: Object) -> Result<()> {
@@ -79,7 +79,7 @@
         .precheck(&head, Position::default());
     if wanted.is_ok() {
         let objects = fetch(node, &head).await?;
-        configuration::take_in(
+        configuration::apply_revision(
             node,
             Configuration {
                 head,
@@ -118,7 +118,7 @@
 async fn read_content(node: &Rc<Node>, digest: &Digest) -> Result<ByteBuf> {
     let key = content_key(digest);
     let read = node.platform.read(&key);
-    let object = called(node, Purpose::Declarations, read).await?;
+    let object = platform_call(node, Purpose::Declarations, read).await?;
     object
         .map(|object| ByteBuf::from(object.value))
         .ok_or_else(|| Error::new(Step::Platform, key, "a content object is missing"))
@@ -127,7 +127,7 @@
 fn take_vms(node: &Rc<Node>, object: Object) -> Result<()> {
     let list: VmList = serde_json::from_slice(&object.value)
         .map_err(|error| Error::new(Step::Platform, "the list of VMs", error))?;
-    configuration::take_in_vms(node, list);
+    configuration::apply_vm_list(node, list);
     Ok(())
 }
 
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -8,9 +8,9 @@
 mod listed;
 mod registered;
 
-pub use evacuations::heard as evacuations_heard;
-pub use freshness::confirmed_by;
-pub use registered::read_anew;
+pub use evacuations::on_report as on_evacuations;
+pub use freshness::on_confirmation;
+pub use registered::read_declarations;
 
 use crate::configuration;
 use crate::home_driver;
@@ -38,7 +38,7 @@
 /// Time between two looks whether two answers arrive at once: 12 KB on a link of 10 Mbit/s.
 const DOUBLED_LOOK: Duration = Duration::from_millis(10);
 /// Shortest pause after a failed call; it doubles with each further one.
-pub const LEAST_PAUSE_MS: u64 = 100;
+pub const MIN_PAUSE_MS: u64 = 100;
 /// Longest pause after a failed call.
 const MOST_PAUSE_MS: u64 = 3_000;
 
@@ -116,23 +116,23 @@
 
 /// What this node may do now beside the first read of its declarations. A node to which the platform lists the VMs reads
 /// small objects one by one, and all its work is allowed at once.
-pub fn allowed(node: &Node) -> AllowedWork {
+pub fn allowed_work(node: &Node) -> AllowedWork {
     if node.in_force().is_some() || node.registration.is_none() {
         return AllowedWork::Everything;
     }
-    let is_read = is_read(node);
-    node.first_read.borrow().allowed(node.now(), is_read)
+    let is_reading = is_reading_declarations(node);
+    node.first_read.borrow().allowed(node.now(), is_reading)
 }
 
 /// Whether this node has no declarations and its first read of them has not ended, however long it takes: a store that has
 /// stalled would not answer a second read either.
-pub fn is_first_read(node: &Node) -> bool {
+pub fn awaits_first_read(node: &Node) -> bool {
     let has_ended = node.first_read.borrow().has_ended();
     node.registration.is_some() && node.in_force().is_none() && !has_ended
 }
 
 /// Whether the store's answer with the declarations arrives or is checked just now.
-pub fn is_read(node: &Node) -> bool {
+pub fn is_reading_declarations(node: &Node) -> bool {
     let Some(registration) = &node.registration else {
         return false;
     };
@@ -173,14 +173,14 @@
 
 /// Asks once for each topic, until the platform has answered or other nodes have told.
 async fn learn(node: &Rc<Node>) {
-    let mut pause = LEAST_PAUSE_MS;
+    let mut pause = MIN_PAUSE_MS;
     for topic in topics(node) {
         while let Err(error) = look(node, *topic, Manner::Start).await {
             first_read_ended(node);
             set_reachable(node, false);
             tracing::info!(?topic, %error, "the platform gave no answer");
             listed::ask_seeds(node);
-            pause = rest(pause).await;
+            pause = back_off(pause).await;
             if is_told(node, *topic) {
                 break;
             }
@@ -264,9 +264,9 @@
 /// the open watches should have told: they say nothing any more. Without it a change was in force nowhere for
 /// ten seconds after the connections of all watches had fallen silent.
 async fn overtaken(node: &Rc<Node>) -> Result<()> {
-    let era = store::known(node);
+    let era = store::known_era(node);
     loop {
-        if store::known(node) != era {
+        if store::known_era(node) != era {
             // The revisions from which the open watches go on stand for something else now.
             if look_at_all(node).await? {
                 freshness::tell_other_halls(node);
@@ -341,10 +341,16 @@
 }
 
 /// Takes in what another node says of its calls to the platform, and what it knows.
-pub fn heard(node: &Rc<Node>, from: &Name, word: WatchNotice, theirs: &Summary, reply: &Reply) {
+pub fn on_notice(
+    node: &Rc<Node>,
+    from: &Name,
+    notice: WatchNotice,
+    theirs: &Summary,
+    reply: &Reply,
+) {
     let now = node.now();
-    node.watch.borrow_mut().on_notice(now, from, word);
-    configuration::compare(node, from, theirs, reply);
+    node.watch.borrow_mut().on_notice(now, from, notice);
+    configuration::on_summary(node, from, theirs, reply);
 }
 
 /// Notes whether the platform answered.
@@ -357,7 +363,7 @@
 }
 
 /// Pauses with jitter; returns the next, longer pause.
-pub async fn rest(pause: u64) -> u64 {
+pub async fn back_off(pause: u64) -> u64 {
     let jittered = rand::rng().random_range(pause / 2..=pause);
     task::sleep(Duration::from_millis(jittered)).await;
     (pause * 2).min(MOST_PAUSE_MS)
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -1,11 +1,11 @@
 //! The operators' declarations, as the store of a platform has them whose nodes register.
 
 use super::{Manner, WATCH};
-use crate::configuration::{self, BREATH};
+use crate::configuration::{self, STEP_PAUSE};
 use crate::counted::CountGuard;
 use crate::node::Node;
 use crate::registration::Registration;
-use crate::store::called;
+use crate::store::platform_call;
 use async_std::task;
 use audit::stats::{self, Work};
 use audit::Origin;
@@ -37,7 +37,7 @@
     let (kind, _) = registration.adapter.declarations();
     let store = registration.adapter.store();
     let watch = store.watch(kind, after.revision, wait);
-    let watched = called(node, Purpose::Watch, watch).await?;
+    let watched = platform_call(node, Purpose::Watch, watch).await?;
     if registration.eras.borrow().known() != after.era {
         // The revision from which it went on stands for something else in the present era.
         return list(node, Reading::Newest).await;
@@ -63,7 +63,7 @@
 
 /// Reads the declarations for this node alone, because copies between nodes would take longer. A node that has none
 /// yet takes an answer that may lag, which costs a tenth; what it misses it is told by others.
-pub async fn read_anew(node: &Rc<Node>) -> Result<()> {
+pub async fn read_declarations(node: &Rc<Node>) -> Result<()> {
     if node.rollout.borrow().newest_revision() == 0 {
         list(node, Reading::MayLag).await?;
         if node.rollout.borrow().newest_revision() > 0 {
@@ -77,7 +77,7 @@
     let registration = registration(node)?;
     let (kind, _) = registration.adapter.declarations();
     let list = registration.adapter.store().list(kind, reading);
-    let listing = called(node, Purpose::Declarations, list).await?;
+    let listing = platform_call(node, Purpose::Declarations, list).await?;
     // An answer that lags may hold what a return has lost, and belongs to no era.
     let era = listing.at.era.filter(|_| reading == Reading::Newest);
     take_all(node, &registration, &listing.objects, era).await;
@@ -127,7 +127,7 @@
             revision: object.revision,
         };
         if node.in_force().is_some() {
-            task::sleep(BREATH).await;
+            task::sleep(STEP_PAUSE).await;
         }
         let change = change(&written);
         let unchecked =
@@ -135,7 +135,7 @@
         let head = &unchecked.configuration().head;
         let wanted = node.rollout.borrow_mut().precheck(head, read);
         if wanted.is_ok() {
-            configuration::take_in(node, unchecked, Origin::Store).await;
+            configuration::apply_revision(node, unchecked, Origin::Store).await;
         }
     }
 }
