--- a/components/watch/src/lib.rs
+++ b/components/watch/src/lib.rs
@@ -1,10 +1,11 @@
-//! Watch: which nodes ask the platform for news, on behalf of the others of their hall.
+//! Watch: selects the nodes of a hall that query the platform for updates on behalf of the others.
 //!
-//! Two nodes of each hall hold a watch on the platform and say so several times a second to the others,
-//! which ask nothing as long as they hear that ([`WatchNotice`]). Who watches is not agreed: a node that hears of
-//! too few watchers becomes one after a random time, and one that hears of enough better placed ones stops
-//! ([`Watch`]). A node that hears nobody, because the watchers are gone or it is cut off from them, asks the
-//! platform itself within a part of the time that a change may take ([`Timing`]).
+//! Two nodes of each hall hold a watch on the platform and send keep-alive notices to the others several
+//! times a second ([`WatchNotice`]); nodes that receive them don't query the platform. There is no
+//! election: a node that knows too few watchers becomes one after a random delay, and a watcher stops
+//! when enough others precede it in the rendezvous ranking ([`Watch`]). A node that receives no notices,
+//! because the watchers are gone or unreachable, queries the platform itself within a fraction of the
+//! time within which a change must be in force ([`Timing`]).
 
 mod duty;
 mod first_read;
--- a/components/watch/src/postponed.rs
+++ b/components/watch/src/postponed.rs
@@ -1,13 +1,14 @@
-//! Peers that told of something newer while a node asked nobody.
+//! Peers that reported newer declarations while a node was not allowed to query them.
 
 use crate::AllowedWork;
 use names::Name;
 
-/// Peers that are kept at most. One that has the declarations is enough, and others may have ended meanwhile.
+/// Maximum number of stored peers. One that has the declarations is enough; others may have terminated
+/// meanwhile.
 pub const MAX_POSTPONED: usize = 8;
 
-/// The peers to be asked once that is allowed, and the way to each. A summary is sent once for each connection, so a peer
-/// whose summary was dropped would not repeat it.
+/// Peers to query once that is allowed, each with a link to it. A peer sends its summary once per
+/// connection, so it would not repeat one that was dropped.
 #[derive(Debug)]
 pub struct PostponedPeers<T> {
     peers: Vec<(Name, T)>,
@@ -20,20 +21,20 @@
 }
 
 impl<T> PostponedPeers<T> {
-    /// Keeps a peer, and the way to it that was used last.
-    pub fn add(&mut self, peer: &Name, way: T) {
+    /// Stores a peer and its most recent link.
+    pub fn add(&mut self, peer: &Name, link: T) {
         self.peers.retain(|(known, _)| known != peer);
         if self.peers.len() < MAX_POSTPONED {
-            self.peers.push((peer.clone(), way));
+            self.peers.push((peer.clone(), link));
         }
     }
 
-    /// The peers to ask now, each once: none while nothing is allowed.
+    /// Removes and returns the links of the peers to query now; none while no work is allowed.
     pub fn take_due(&mut self, allowed: AllowedWork) -> Vec<T> {
         if allowed == AllowedWork::Nothing {
             return Vec::new();
         }
         let peers = std::mem::take(&mut self.peers);
-        peers.into_iter().map(|(_, way)| way).collect()
+        peers.into_iter().map(|(_, link)| link).collect()
     }
 }
--- a/components/watch/src/waiting.rs
+++ b/components/watch/src/waiting.rs
@@ -1,20 +1,21 @@
-//! Callers of a node without declarations, which wait while the node reads them.
+//! Limits on callers that wait while a node without declarations reads them.
 
 use std::cell::Cell;
 
-/// Callers that wait at the same time at most. At 300 requests a second a node takes in so many within 1.7 s.
+/// Maximum number of callers that wait at the same time: at 300 requests per second, a node receives that
+/// many within 1.7 s.
 pub const MAX_WAITING: usize = 512;
-/// Bytes of their requests, at most: what rows of answers may hold as well.
+/// Maximum size of their requests in total, in bytes; the same limit as for pipelined answers.
 pub const MAX_WAITING_BYTES: usize = 4 * 1024 * 1024;
 
-/// What all of them hold together.
+/// Capacity in use by the waiting callers.
 #[derive(Debug, Default)]
 pub struct WaitingCallers {
     callers: Cell<usize>,
     bytes: Cell<usize>,
 }
 
-/// The place of one of them.
+/// Capacity reserved for one waiting caller; released when dropped.
 #[derive(Debug)]
 pub struct WaitReservation<'a> {
     waiting: &'a WaitingCallers,
@@ -22,15 +23,15 @@
 }
 
 impl WaitingCallers {
-    /// A place for a request of so many bytes; none when there is no room left.
+    /// Reserves capacity for a request of `bytes` bytes; none if a limit is reached.
     pub fn reserve(&self, bytes: usize) -> Option<WaitReservation<'_>> {
         let callers = self.callers.get() + 1;
-        let held = self.bytes.get() + bytes;
-        if callers > MAX_WAITING || held > MAX_WAITING_BYTES {
+        let total_bytes = self.bytes.get() + bytes;
+        if callers > MAX_WAITING || total_bytes > MAX_WAITING_BYTES {
             return None;
         }
         self.callers.set(callers);
-        self.bytes.set(held);
+        self.bytes.set(total_bytes);
         Some(WaitReservation {
             waiting: self,
             bytes,
