--- a/components/watch/tests/watch/postponed.rs
+++ b/components/watch/tests/watch/postponed.rs
@@ -1,7 +1,8 @@
-//! Peers whose summaries came while a node asked nobody.
+//! Peers whose summaries arrive while a node is not allowed to query them.
 //!
-//! The failure guarded against: one node restarts, its peers dial it and their summaries arrive before the store has had
-//! time to answer. The summaries were dropped and never repeated, so that a node whose store hung asked nobody.
+//! Guards against a node that queries nobody while its store hangs: when a single node restarts, its peers
+//! connect and send their summaries before the store has had time to answer. The summaries were dropped, and
+//! peers don't repeat them.
 
 use names::{Moment, Name, MILLISECOND};
 use watch::{FirstRead, PostponedPeers, ANSWER_TIMEOUT_US, MAX_POSTPONED, READ_TIMEOUT_US};
@@ -9,7 +10,7 @@
 const STARTED: Moment = Moment(7_000_000);
 
 #[test]
-fn a_peer_that_told_early_is_asked_once_the_store_has_not_answered() {
+fn peer_with_an_early_summary_is_queried_after_the_store_timeout() {
     let read = FirstRead::new(STARTED);
     let mut postponed = PostponedPeers::default();
     postponed.add(&Name::from("vm-1"), 1);
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn a_peer_is_asked_when_the_store_stalls_in_the_middle_of_its_answer() {
+fn peer_is_queried_when_the_store_stalls_during_its_answer() {
     let read = FirstRead::new(STARTED);
     let mut postponed = PostponedPeers::default();
     postponed.add(&Name::from("vm-1"), 1);
@@ -33,8 +34,9 @@
     );
 }
 
+/// The store is not read a second time before the first read has ended.
 #[test]
-fn a_store_that_has_not_answered_the_first_read_is_not_read_again_after_its_time() {
+fn timed_out_first_read_is_over_but_has_not_ended() {
     let mut read = FirstRead::new(STARTED);
     assert!(read.is_over(STARTED + READ_TIMEOUT_US) && !read.has_ended());
     read.finish();
@@ -42,7 +44,7 @@
 }
 
 #[test]
-fn a_peer_is_kept_once_by_its_last_connection_and_few_peers_are_kept() {
+fn each_peer_is_stored_once_with_its_latest_link_up_to_the_limit() {
     let read = FirstRead::new(STARTED);
     let mut postponed = PostponedPeers::default();
     postponed.add(&Name::from("vm-0"), 100);
--- a/components/watch/tests/watch/world.rs
+++ b/components/watch/tests/watch/world.rs
@@ -1,69 +1,66 @@
-//! A hall of nodes on one clock, with a platform that answers some of them and whose connections may fall silent.
+//! Simulated hall of nodes on one clock, with a platform that answers some of them and whose open watches may
+//! stall.
 
 use names::{Moment, Name, MILLISECOND, SECOND};
 use watch::{Advice, Timing, Watch, WatchNotice};
 
-/// How often a node looks at its duty.
-const LOOK_US: u64 = 100 * MILLISECOND;
-/// Time that a word takes unless a test says otherwise, and a call to the platform.
-const WAY_US: u64 = MILLISECOND;
+/// Time between two evaluations of a node's advice.
+const ADVICE_INTERVAL_US: u64 = 100 * MILLISECOND;
+/// Default delivery time of a notice, and duration of a call to the platform.
+const NOTICE_DELAY_US: u64 = MILLISECOND;
 const CALL_US: u64 = 10 * MILLISECOND;
-/// How long a call lasts whose answer comes a few bytes a second: it is not given up before that.
-const UNANSWERED_US: u64 = 30 * SECOND;
-/// How long one watch waits.
+/// Duration of a call whose answer arrives at a few bytes per second: it does not time out before that.
+const HANGING_CALL_US: u64 = 30 * SECOND;
+/// Duration of one watch.
 const WATCH_US: u64 = 10 * SECOND;
 /// Step of the clock.
 const STEP_US: u64 = MILLISECOND;
-/// Within how long changes have to be in force.
+/// Time within which a change must be in force.
 pub const BOUND_US: u64 = 3 * SECOND;
 
 struct Node {
     name: Name,
     watch: Watch,
-    look_at: Moment,
-    /// Begin and end of the call under way.
-    call: Option<(Moment, Moment)>,
-    /// Version that it holds.
-    knows: u64,
-    /// Whether its open watch says nothing any more.
-    is_mute: bool,
+    advice_at: Moment,
+    /// Start and end of the call in progress.
+    active_call: Option<(Moment, Moment)>,
+    version: u64,
+    /// Whether its open watch no longer reports changes.
+    is_stalled: bool,
     watch_ends: Moment,
-    word_at: Moment,
-    is_up: bool,
+    next_notice: Moment,
+    is_running: bool,
     /// Whether the platform answers it.
     is_served: bool,
-    /// Whether the platform leaves it without any answer.
-    is_unanswered: bool,
-    /// Whether it hears the others and they hear it.
+    /// Whether its calls to the platform hang without an answer.
+    is_hanging: bool,
+    /// Whether notices pass between it and the others.
     is_connected: bool,
-    /// From when on it hears the others and they hear it.
+    /// Time from which on notices pass between it and the others.
     connected_from: Moment,
 }
 
-/// The hall.
 pub struct World {
     pub now: Moment,
     nodes: Vec<Node>,
-    words: Vec<Said>,
-    /// Newest version at the platform.
-    newest: u64,
-    /// Calls to the platform by which nodes began to watch, or went on: when, and by whom.
+    notices: Vec<NoticeInFlight>,
+    newest_version: u64,
+    /// Calls to the platform that started or continued a watch, with their time and node.
     pub calls: Vec<(Moment, usize)>,
-    /// Calls by which watchers asked whether they had missed anything.
-    pub looks: Vec<Moment>,
-    /// Time that a word takes.
-    pub way_us: u64,
-    /// From when on nodes know of one another.
+    /// Times of the calls by which watchers checked for missed changes.
+    pub polls: Vec<Moment>,
+    pub notice_delay_us: u64,
+    /// Time from which on nodes know of one another.
     pub known_from: Moment,
 }
 
-/// A word on its way.
-struct Said {
+/// A notice that has not arrived yet.
+struct NoticeInFlight {
     arrives: Moment,
     from: usize,
-    word: WatchNotice,
-    knows: u64,
-    /// When the speaker's version was last known to be the newest.
+    notice: WatchNotice,
+    version: u64,
+    /// When the sender's version was last confirmed to be the newest.
     as_of: Option<Moment>,
 }
 
@@ -77,15 +74,15 @@
             Node {
                 name,
                 watch,
-                look_at: Moment(seed * 7_919 % LOOK_US),
-                call: None,
-                knows: 0,
-                is_mute: false,
+                advice_at: Moment(seed * 7_919 % ADVICE_INTERVAL_US),
+                active_call: None,
+                version: 0,
+                is_stalled: false,
                 watch_ends: Moment(0),
-                word_at: Moment(0),
-                is_up: true,
+                next_notice: Moment(0),
+                is_running: true,
                 is_served: true,
-                is_unanswered: false,
+                is_hanging: false,
                 is_connected: true,
                 connected_from: Moment(0),
             }
@@ -93,11 +90,11 @@
         World {
             now: Moment(0),
             nodes: nodes.collect(),
-            words: Vec::new(),
-            newest: 0,
+            notices: Vec::new(),
+            newest_version: 0,
             calls: Vec::new(),
-            looks: Vec::new(),
-            way_us: WAY_US,
+            polls: Vec::new(),
+            notice_delay_us: NOTICE_DELAY_US,
             known_from: Moment(0),
         }
     }
@@ -108,19 +105,20 @@
             self.now = self.now + STEP_US;
             self.deliver();
             for index in 0..self.nodes.len() {
-                if self.nodes[index].is_up {
+                if self.nodes[index].is_running {
                     self.step(index);
                 }
             }
         }
     }
 
-    /// The nodes that watch and are answered.
+    /// Running nodes that watch and are answered.
     pub fn watchers(&self) -> Vec<usize> {
-        let watches = |node: &Node| node.is_up && node.is_served && node.watch.is_watching();
+        let is_answered_watcher =
+            |node: &Node| node.is_running && node.is_served && node.watch.is_watching();
         let indexes = 0..self.nodes.len();
         indexes
-            .filter(|index| watches(&self.nodes[*index]))
+            .filter(|index| is_answered_watcher(&self.nodes[*index]))
             .collect()
     }
 
@@ -128,8 +126,8 @@
         self.calls.iter().filter(|(at, _)| *at >= from).count()
     }
 
-    pub fn set_up(&mut self, index: usize, is_up: bool) {
-        self.nodes[index].is_up = is_up;
+    pub fn set_running(&mut self, index: usize, is_running: bool) {
+        self.nodes[index].is_running = is_running;
     }
 
     pub fn set_served(&mut self, index: usize, is_served: bool) {
@@ -140,7 +138,7 @@
         self.nodes[index].is_connected = is_connected;
     }
 
-    /// Nodes are connected to the others one after the other, until `last_us` from now.
+    /// Connects the nodes to the others one by one, the last one `last_us` from now.
     pub fn connect_until(&mut self, last_us: u64) {
         let count = self.nodes.len() as u64;
         for (index, node) in self.nodes.iter_mut().enumerate() {
@@ -148,130 +146,130 @@
         }
     }
 
-    fn is_heard(&self, index: usize) -> bool {
+    fn can_reach_hall(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         node.is_connected && node.connected_from <= self.now
     }
 
-    /// Open watches say nothing any more; new calls work.
-    pub fn mute_watches(&mut self) {
+    /// Stalls all open watches; new calls work.
+    pub fn stall_watches(&mut self) {
         for node in &mut self.nodes {
-            node.is_mute = true;
+            node.is_stalled = true;
         }
     }
 
-    /// The platform leaves a node without any answer, or answers it again.
-    pub fn set_unanswered(&mut self, index: usize, is_unanswered: bool) {
-        self.nodes[index].is_unanswered = is_unanswered;
+    /// Sets whether calls of a node to the platform hang without an answer.
+    pub fn set_hanging(&mut self, index: usize, is_hanging: bool) {
+        self.nodes[index].is_hanging = is_hanging;
     }
 
-    /// A change is confirmed.
+    /// Confirms a change at the platform.
     pub fn change(&mut self) {
-        self.newest += 1;
+        self.newest_version += 1;
     }
 
-    /// The nodes that hold the newest version.
-    pub fn informed(&self) -> Vec<usize> {
+    /// Nodes that hold the newest version.
+    pub fn up_to_date_nodes(&self) -> Vec<usize> {
         let indexes = 0..self.nodes.len();
         indexes
-            .filter(|index| self.nodes[*index].knows == self.newest)
+            .filter(|index| self.nodes[*index].version == self.newest_version)
             .collect()
     }
 
-    /// The oldest knowledge of any node that runs, in microseconds.
-    pub fn oldest_us(&self) -> u64 {
-        let running = self.nodes.iter().filter(|node| node.is_up);
+    /// Longest time since the last confirmation at any running node, in microseconds.
+    pub fn max_age_us(&self) -> u64 {
+        let running = self.nodes.iter().filter(|node| node.is_running);
         let ages = running.map(|node| node.watch.age_us(self.now).unwrap_or(u64::MAX));
         ages.max().unwrap_or(0)
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) =
-            self.words.drain(..).partition(|said| said.arrives <= now);
-        self.words = rest;
-        for said in due {
-            if !self.is_heard(said.from) {
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.notices.drain(..).partition(|sent| sent.arrives <= now);
+        self.notices = later;
+        for sent in due {
+            if !self.can_reach_hall(sent.from) {
                 continue;
             }
-            let name = self.nodes[said.from].name.clone();
+            let name = self.nodes[sent.from].name.clone();
             for (index, node) in self.nodes.iter_mut().enumerate() {
-                let hears = node.is_connected && node.connected_from <= now;
-                if index == said.from || !node.is_up || !hears {
+                let can_receive = node.is_connected && node.connected_from <= now;
+                if index == sent.from || !node.is_running || !can_receive {
                     continue;
                 }
-                node.watch.on_notice(now, &name, said.word);
-                // Copies take no time here.
-                node.knows = node.knows.max(said.knows);
-                if let Some(as_of) = said.as_of.filter(|_| node.knows == said.knows) {
+                node.watch.on_notice(now, &name, sent.notice);
+                // Copying the new version takes no time in this simulation.
+                node.version = node.version.max(sent.version);
+                if let Some(as_of) = sent.as_of.filter(|_| node.version == sent.version) {
                     node.watch.on_confirmed(as_of);
                 }
             }
         }
     }
 
-    fn say(&mut self, index: usize, word: WatchNotice) {
+    fn send_notice(&mut self, index: usize, notice: WatchNotice) {
         let node = &self.nodes[index];
         let age_us = node.watch.age_us(self.now);
-        self.words.push(Said {
-            arrives: self.now + self.way_us,
+        self.notices.push(NoticeInFlight {
+            arrives: self.now + self.notice_delay_us,
             from: index,
-            word,
-            knows: node.knows,
+            notice,
+            version: node.version,
             as_of: age_us.map(|age_us| Moment(self.now.0 - age_us)),
         });
     }
 
     fn step(&mut self, index: usize) {
         let now = self.now;
-        let newest = self.newest;
-        let is_heard = self.is_heard(index);
-        // Others are known shortly before connections to them are open.
-        let known = if is_heard || now >= self.known_from {
+        let newest_version = self.newest_version;
+        let can_reach_hall = self.can_reach_hall(index);
+        // Nodes know one another shortly before they are connected.
+        let known = if can_reach_hall || now >= self.known_from {
             self.nodes.len() - 1
         } else {
             0
         };
-        let open = if is_heard { known } else { 0 };
+        let open = if can_reach_hall { known } else { 0 };
         let node = &mut self.nodes[index];
         node.watch.on_connections(now, known, open);
-        if let Some((began, ends)) = node.call {
+        if let Some((started, ends)) = node.active_call {
             if ends > now {
-                self.speak(index);
+                self.send_due_notice(index);
                 return;
             }
-            node.call = None;
-            let word = if node.is_served && !node.is_unanswered {
-                let was_told = node.knows == newest;
-                node.knows = newest;
-                node.watch.on_confirmed(began);
-                let watched = node.watch.is_watching();
-                if !watched || !was_told {
-                    // What a watch should have told came by another call: it is begun anew.
+            node.active_call = None;
+            let notice = if node.is_served && !node.is_hanging {
+                let was_up_to_date = node.version == newest_version;
+                node.version = newest_version;
+                node.watch.on_confirmed(started);
+                let was_watching = node.watch.is_watching();
+                if !was_watching || !was_up_to_date {
+                    // Another call returned what the watch should have reported: the watch is restarted.
                     node.watch.on_answer();
                     node.watch_ends = now + WATCH_US;
-                    node.is_mute = false;
+                    node.is_stalled = false;
                 }
-                if watched && !was_told {
+                if was_watching && !was_up_to_date {
                     self.calls.push((now, index));
                 }
-                node.word_at = now + node.watch.notice_interval_us();
+                node.next_notice = now + node.watch.notice_interval_us();
                 WatchNotice::Watching
             } else {
                 node.watch.on_failure(now);
                 WatchNotice::Failed
             };
-            self.say(index, word);
+            self.send_notice(index, notice);
             return;
         }
         if node.watch.is_watching() {
             self.keep_watching(index);
-        } else if node.look_at <= now {
-            node.look_at = now + LOOK_US;
+        } else if node.advice_at <= now {
+            node.advice_at = now + ADVICE_INTERVAL_US;
             if node.watch.advice(now) == Advice::Query {
                 node.watch.on_query();
-                self.say(index, WatchNotice::Querying);
-                self.call(index);
+                self.send_notice(index, WatchNotice::Querying);
+                self.start_watch_call(index);
             }
         }
     }
@@ -280,55 +278,55 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         if !node.is_served {
-            // The platform cuts the watch, and a new one is refused.
-            self.call(index);
+            // The platform ends the watch and refuses a new one.
+            self.start_watch_call(index);
             return;
         }
-        if !node.is_mute && !node.is_unanswered && node.knows < self.newest {
-            node.knows = self.newest;
-            self.say(index, WatchNotice::Watching);
+        if !node.is_stalled && !node.is_hanging && node.version < self.newest_version {
+            node.version = self.newest_version;
+            self.send_notice(index, WatchNotice::Watching);
             self.calls.push((now, index));
             return;
         }
         if node.watch.next_confirmation(now) <= now {
-            self.looks.push(now);
-            self.begin(index);
+            self.polls.push(now);
+            self.start_call(index);
             return;
         }
         if node.watch_ends <= now {
             if node.watch.keep_watching(now) {
                 node.watch_ends = now + WATCH_US;
-                node.is_mute = false;
+                node.is_stalled = false;
                 self.calls.push((now, index));
             }
             return;
         }
-        self.speak(index);
+        self.send_due_notice(index);
     }
 
-    /// Watchers say that they watch, also while a call of theirs is under way.
-    fn speak(&mut self, index: usize) {
+    /// Sends a watcher's notice when it is due, also while a call of the watcher is in progress.
+    fn send_due_notice(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if node.watch.is_watching() && node.word_at <= now {
-            node.word_at = now + node.watch.notice_interval_us();
-            self.say(index, WatchNotice::Watching);
+        if node.watch.is_watching() && node.next_notice <= now {
+            node.next_notice = now + node.watch.notice_interval_us();
+            self.send_notice(index, WatchNotice::Watching);
         }
     }
 
-    fn call(&mut self, index: usize) {
+    fn start_watch_call(&mut self, index: usize) {
         self.calls.push((self.now, index));
-        self.begin(index);
+        self.start_call(index);
     }
 
-    fn begin(&mut self, index: usize) {
+    fn start_call(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        let lasts_us = if node.is_unanswered {
-            UNANSWERED_US
+        let duration_us = if node.is_hanging {
+            HANGING_CALL_US
         } else {
             CALL_US
         };
-        node.call = Some((now, now + lasts_us));
+        node.active_call = Some((now, now + duration_us));
     }
 }
