--- a/components/keys/src/lib.rs
+++ b/components/keys/src/lib.rs
@@ -1,11 +1,11 @@
-//! Idempotency keys: a request that may not be repeated runs at most once for each key.
+//! Idempotency keys: a request that may not be repeated runs at most once per key.
 //!
-//! Each key of a service has a coordinator, the first in a ranking of the service's declared
-//! upstreams by rendezvous hashing: its node makes the attempts and remembers the key
-//! ([`KeyTable`]). A coordinator never runs its own keys on its own upstream, and the node beside the
-//! upstream that does run one remembers it too ([`Claims`]), so the failure of one VM loses no key.
-//! While the first in the ranking can't be reached, the next may act, once every other upstream's
-//! node has granted it the key. See `docs/DESIGN.md`.
+//! Each key of a service has a coordinator: the first in a ranking of the service's declared
+//! upstreams by rendezvous hashing. Its node makes the attempts and records the key ([`KeyTable`]).
+//! A coordinator never runs its keys on its local upstream, and the local node of the upstream that
+//! runs one records it as well ([`Claims`]), so the failure of one VM loses no key. While the first
+//! in the ranking can't be reached, the next may act as coordinator once the node of every other
+//! upstream has granted it the key. See `docs/DESIGN.md`.
 
 mod claims;
 mod rank;
--- a/components/keys/src/rank.rs
+++ b/components/keys/src/rank.rs
@@ -1,16 +1,17 @@
-//! Rendezvous hashing: who coordinates a key.
+//! Rendezvous hashing: selects the coordinator of a key.
 
 use names::Name;
 use sha2::{Digest, Sha256};
 
-/// `vms` in the order in which they coordinate `key`; the same on every node with the same list.
+/// Returns `vms` in the order in which they coordinate `key`; the order is the same on every node with the
+/// same list.
 pub fn ranked(service: &Name, key: &str, vms: &[Name]) -> Vec<Name> {
-    let mut weighed: Vec<([u8; 32], &Name)> = vms
+    let mut weighted: Vec<([u8; 32], &Name)> = vms
         .iter()
         .map(|vm| (weight(service, key, vm), vm))
         .collect();
-    weighed.sort_unstable_by(|one, other| other.cmp(one));
-    weighed.into_iter().map(|(_, vm)| vm.clone()).collect()
+    weighted.sort_unstable_by(|a, b| b.cmp(a));
+    weighted.into_iter().map(|(_, vm)| vm.clone()).collect()
 }
 
 fn weight(service: &Name, key: &str, vm: &Name) -> [u8; 32] {
--- a/components/keys/src/standing.rs
+++ b/components/keys/src/standing.rs
@@ -1,61 +1,61 @@
-//! How a node stands to one key: whether it must claim it, from whom, and where it may run.
+//! A coordinator's view of one key: whether it must claim the key, from which nodes, and where it may run.
 
 use crate::claims::ClaimReply;
 use names::Name;
 
-/// One node's standing to one key.
+/// What one node knows about the coordination of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CoordinatorView {
-    /// The node's own VM.
     pub own_vm: Name,
-    /// The service's upstreams in the key's ranking.
+    /// VMs of the service's upstreams, in the key's ranking.
     pub ranking: Vec<Name>,
-    /// Every upstream that was in the service's group within the key window.
+    /// VMs of all upstreams that were in the service's group within the key window.
     pub members: Vec<Name>,
-    /// Whether this boot may not know all that was done in its VM's name.
+    /// Whether earlier boots of this VM may have used keys that this boot doesn't know.
     pub is_uncertain: bool,
 }
 
 impl CoordinatorView {
-    /// The first in the ranking may run a key it has no record of, if it has been first all along
-    /// and knows all that it did. Anyone else must claim the key.
+    /// Whether this node must claim the key before it runs it. Only the first in the ranking may run
+    /// a key without a record, if it has been the first throughout the key window and has a complete
+    /// record of its own runs.
     pub fn must_claim(&self) -> bool {
-        let first = self.ranking.first() == Some(&self.own_vm);
-        !first || self.has_moved() || self.is_uncertain
+        let is_first = self.ranking.first() == Some(&self.own_vm);
+        !is_first || self.has_group_changed() || self.is_uncertain
     }
 
-    /// The VMs whose nodes must grant the key. The first in the ranking never runs the key on its
-    /// own upstream, so it is spared.
+    /// VMs whose nodes must grant the key. The first in the ranking is exempt, since it never runs the
+    /// key on its local upstream.
     pub fn claim_targets(&self) -> impl Iterator<Item = &Name> {
-        let spared = self.spared().filter(|_| !self.has_moved());
-        self.members.iter().filter(move |vm| Some(*vm) != spared)
+        let exempt = self.exempt().filter(|_| !self.has_group_changed());
+        self.members.iter().filter(move |vm| Some(*vm) != exempt)
     }
 
-    /// Whether the key may run at the upstream of `vm`: not at the own, so that a run is always
-    /// known to two nodes. In a group of one there is no other.
+    /// Whether the key may run at the upstream of `vm`. The local upstream is excluded unless it is the
+    /// only one, so that each run is recorded by two nodes.
     pub fn may_run_at(&self, vm: &Name) -> bool {
         *vm != self.own_vm || self.ranking.len() == 1
     }
 
-    fn has_moved(&self) -> bool {
+    fn has_group_changed(&self) -> bool {
         self.members.len() != self.ranking.len()
     }
 
-    /// In a group of one the first has to run its keys itself.
-    fn spared(&self) -> Option<&Name> {
+    /// None in a group of one, where the first runs its keys itself.
+    fn exempt(&self) -> Option<&Name> {
         self.ranking.first().filter(|_| self.ranking.len() > 1)
     }
 }
 
-/// What several answers to a claim amount to: granted only if every node granted it.
+/// Combines the replies of several nodes to a claim: granted only if every node granted it.
 pub fn combine_replies<A>(replies: impl IntoIterator<Item = ClaimReply<A>>) -> ClaimReply<A> {
-    let mut whole = ClaimReply::Granted;
+    let mut combined = ClaimReply::Granted;
     for reply in replies {
         match reply {
             ClaimReply::Granted => {}
             ClaimReply::Answered(answer) => return ClaimReply::Answered(answer),
-            other => whole = other,
+            other => combined = other,
         }
     }
-    whole
+    combined
 }
