--- a/components/keys/src/claims.rs
+++ b/components/keys/src/claims.rs
@@ -1,4 +1,5 @@
-//! Records of keys at the local node of an upstream: which coordinator may run a key here, and whether it ran.
+//! Records of keys at the local node of an upstream: which coordinator may run a key here, and
+//! whether it ran.
 
 use crate::table::{KeyHash, KEY_RETENTION_US};
 use names::{AttemptId, BootId, Moment, Name};
--- a/components/keys/src/rank.rs
+++ b/components/keys/src/rank.rs
@@ -3,8 +3,8 @@
 use names::Name;
 use sha2::{Digest, Sha256};
 
-/// Returns `vms` in the order in which they coordinate `key`; the order is the same on every node with the
-/// same list.
+/// Returns `vms` in the order in which they coordinate `key`; the order is the same on every node
+/// with the same list.
 pub fn ranked(service: &Name, key: &str, vms: &[Name]) -> Vec<Name> {
     let mut weighted: Vec<([u8; 32], &Name)> = vms
         .iter()
--- a/components/keys/src/standing.rs
+++ b/components/keys/src/standing.rs
@@ -1,4 +1,5 @@
-//! A coordinator's view of one key: whether it must claim the key, from which nodes, and where it may run.
+//! A coordinator's view of one key: whether it must claim the key, from which nodes, and where it
+//! may run.
 
 use crate::claims::ClaimReply;
 use names::Name;
@@ -24,15 +25,15 @@
         !is_first || self.has_group_changed() || self.is_uncertain
     }
 
-    /// VMs whose nodes must grant the key. The first in the ranking is exempt, since it never runs the
-    /// key on its local upstream.
+    /// VMs whose nodes must grant the key. The first in the ranking is exempt, since it never runs
+    /// the key on its local upstream.
     pub fn claim_targets(&self) -> impl Iterator<Item = &Name> {
         let exempt = self.exempt().filter(|_| !self.has_group_changed());
         self.members.iter().filter(move |vm| Some(*vm) != exempt)
     }
 
-    /// Whether the key may run at the upstream of `vm`. The local upstream is excluded unless it is the
-    /// only one, so that each run is recorded by two nodes.
+    /// Whether the key may run at the upstream of `vm`. The local upstream is excluded unless it is
+    /// the only one, so that each run is recorded by two nodes.
     pub fn may_run_at(&self, vm: &Name) -> bool {
         *vm != self.own_vm || self.ranking.len() == 1
     }
--- a/components/keys/src/table.rs
+++ b/components/keys/src/table.rs
@@ -73,7 +73,8 @@
     states: HashMap<KeyHash, State<A>>,
     ended_by_age: VecDeque<(Moment, KeyHash)>,
     answers_by_age: VecDeque<KeyHash>,
-    /// Keys whose callers received "not run", with the time, for as long as an earlier try may still arrive.
+    /// Keys whose callers received "not run", with the time, for as long as an earlier try may
+    /// still arrive.
     not_run: HashMap<KeyHash, Moment>,
     not_run_by_age: VecDeque<(Moment, KeyHash)>,
     max_keys: usize,
@@ -81,7 +82,8 @@
 }
 
 impl<A: Clone> KeyTable<A> {
-    /// Creates a table of at most `max_keys` records, with complete answers for the last `max_answers`.
+    /// Creates a table of at most `max_keys` records, with complete answers for the last
+    /// `max_answers`.
     pub fn new(max_keys: usize, max_answers: usize) -> KeyTable<A> {
         KeyTable {
             states: HashMap::new(),
@@ -94,9 +96,9 @@
         }
     }
 
-    /// Begins a request with a key that was sent at `sent`, on this process's clock: one sent before a
-    /// later try was answered with "not run" must no longer run. `must_claim`: this node is not the first
-    /// in the key's ranking, or may lack records of its own runs.
+    /// Begins a request with a key that was sent at `sent`, on this process's clock: one sent
+    /// before a later try was answered with "not run" must no longer run. `must_claim`: this node
+    /// is not the first in the key's ranking, or may lack records of its own runs.
     pub fn begin(
         &mut self,
         now: Moment,
--- a/components/keys/tests/keys/fuzz.rs
+++ b/components/keys/tests/keys/fuzz.rs
@@ -7,7 +7,7 @@
 
 const CASES: u32 = 1_500;
 
-/// One step of the world; numbers pick by remainder.
+/// One step of the simulation; indexes are taken modulo the number of choices.
 #[derive(Debug, Clone)]
 enum Step {
     Request {
@@ -19,12 +19,12 @@
         pick: usize,
         busy: bool,
     },
-    GiveUpOn(usize),
+    TimeOut(usize),
     Kill(usize),
-    ReplaceFrozen(usize),
+    ReplacePaused(usize),
     Restart(usize),
     Pause(usize),
-    Thaw(usize),
+    Resume(usize),
     Confirm(usize),
     Recover(usize),
     Advance(u64),
@@ -54,12 +54,12 @@
             }),
             24 => (0..64usize, prop::bool::weighted(0.2))
                 .prop_map(|(pick, busy)| Step::Deliver { pick, busy }),
-            2 => (0..64usize).prop_map(Step::GiveUpOn),
+            2 => (0..64usize).prop_map(Step::TimeOut),
             2 => (0..4usize).prop_map(Step::Kill),
-            1 => (0..4usize).prop_map(Step::ReplaceFrozen),
+            1 => (0..4usize).prop_map(Step::ReplacePaused),
             2 => (0..4usize).prop_map(Step::Restart),
             2 => (0..4usize).prop_map(Step::Pause),
-            2 => (0..4usize).prop_map(Step::Thaw),
+            2 => (0..4usize).prop_map(Step::Resume),
             2 => (0..4usize).prop_map(Step::Confirm),
             3 => (0..4usize).prop_map(Step::Recover),
             2 => (1..80u64).prop_map(Step::Advance),
@@ -86,12 +86,12 @@
         match step {
             Step::Request { fresh, pick, rank } => world.request(fresh, pick, rank),
             Step::Deliver { pick, busy } => world.deliver(pick, busy),
-            Step::GiveUpOn(pick) => world.give_up_on(pick),
+            Step::TimeOut(pick) => world.time_out(pick),
             Step::Kill(vm) => world.kill(vm),
-            Step::ReplaceFrozen(vm) => world.replace_frozen(vm),
+            Step::ReplacePaused(vm) => world.replace_paused(vm),
             Step::Restart(vm) => world.restart(vm),
             Step::Pause(vm) => world.pause(vm),
-            Step::Thaw(pick) => world.thaw(pick),
+            Step::Resume(pick) => world.resume(pick),
             Step::Confirm(vm) => world.confirm(vm),
             Step::Recover(vm) => world.recover(vm),
             Step::Advance(seconds) => world.advance(seconds),
@@ -108,5 +108,5 @@
     #![proptest_config(fuzzing::config(CASES))]
 
     #[test]
-    fn a_key_runs_at_most_once_whatever_happens_to_messages_and_nodes(sequential 1..200 => Keys);
+    fn key_runs_at_most_once_under_message_and_node_faults(sequential 1..200 => Keys);
 }
--- a/components/keys/tests/keys/main.rs
+++ b/components/keys/tests/keys/main.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys under lost, late and reordered messages and failing nodes.
+//! Idempotency keys under lost, delayed and reordered messages and node failures.
 
 mod fuzz;
 mod regressions;
--- a/components/keys/tests/keys/regressions.rs
+++ b/components/keys/tests/keys/regressions.rs
@@ -1,4 +1,4 @@
-//! Failures that fuzzing has found, each as its shrunk sequence of steps.
+//! Failures found by fuzzing, each as its shrunk sequence of steps.
 
 use crate::world::World;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_repeat_late_in_the_window_is_not_run_again_by_the_first_in_the_ranking() {
+fn late_repeat_within_the_window_is_not_run_again_by_the_first_in_the_ranking() {
     let mut world = World::new(2);
     world.request(true, 0, 1);
     deliver(&mut world, 5);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_request_that_was_on_the_way_for_longer_than_its_deadline_is_not_run() {
+fn request_delivered_after_its_deadline_is_not_run() {
     let mut world = World::new(2);
     world.request(true, 0, 0);
     world.request(false, 0, 1);
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn an_offer_of_a_boot_that_was_replaced_is_not_run_after_its_successor_has_recovered() {
-    // The turn in which upstreams are offered a key depends on the boot: try several successors.
+fn offer_of_a_replaced_boot_is_not_run_after_its_successor_has_recovered() {
+    // The order in which upstreams are offered a key depends on the boot: try several successors.
     for earlier_boots in 0..3 {
         let mut world = World::new(4);
         world.request(true, 0, 0);
--- a/components/keys/tests/keys/world/mod.rs
+++ b/components/keys/tests/keys/world/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes of one service that coordinate idempotency keys over messages that may be delayed, lost
-//! and reordered, and an oracle that counts runs.
+//! Simulated nodes of one service that coordinate idempotency keys over messages that may be
+//! delayed, lost and reordered, and an oracle that counts runs.
 
 mod protocol;
 
@@ -9,15 +9,15 @@
 use names::{AttemptId, BootId, Moment, Name, SECOND};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A key's number; also its answer.
+/// Number of a key; also its answer.
 pub type Key = u64;
-type Told = Option<Outcome>;
+type ReportedOutcome = Option<Outcome>;
 
-/// A request or an offer that was longer on the way is past its caller's deadline: the receiver
-/// sees that from the times of sending.
+/// A request or an offer that took longer to arrive is past its caller's deadline, which the receiver
+/// derives from the time of sending.
 const DEADLINE_US: u64 = 5 * SECOND;
 
-/// What a request was told.
+/// Outcome reported to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     Answered,
@@ -65,7 +65,7 @@
     Uncertain,
 }
 
-/// From one boot to another: a message for a boot that is gone is lost.
+/// Message from one boot to another; it is lost if the receiving boot has terminated.
 #[derive(Debug, Clone)]
 struct Message {
     from: BootId,
@@ -74,10 +74,10 @@
     body: Body,
 }
 
-struct Work {
-    began: Moment,
+struct ActiveKey {
+    started: Moment,
     claimed: bool,
-    waiting: Vec<usize>,
+    awaited: Vec<usize>,
     replies: Vec<ClaimReply<Key>>,
     candidates: Vec<usize>,
     contacted: bool,
@@ -89,67 +89,68 @@
     boot: BootId,
     table: KeyTable<Key>,
     claims: Claims,
-    works: BTreeMap<Key, Work>,
-    ran: HashMap<AttemptId, Key>,
+    active_keys: BTreeMap<Key, ActiveKey>,
+    ran_attempts: HashMap<AttemptId, Key>,
     paused: bool,
-    /// Thawed, and not yet told by the platform that it is the latest boot.
-    thawed: bool,
-    /// Not the latest boot of its VM any more.
+    /// Resumed, and not yet confirmed by the platform as the latest boot.
+    resumed: bool,
+    /// No longer the latest boot of its VM.
     replaced: bool,
-    unclean_until: Moment,
-    /// Nodes whose answer a new boot waits for, and the keys learned so far.
+    uncertain_until: Moment,
+    /// Nodes whose reply a new boot awaits, keys received so far, and until when those nodes are
+    /// uncertain.
     recovering: Option<(Vec<usize>, Vec<KeyHash>, Moment)>,
     next_seq: u64,
 }
 
 struct Request {
     key: Key,
-    told: Told,
+    reported: ReportedOutcome,
 }
 
-/// The world.
 pub struct World {
     now: Moment,
     vms: usize,
     nodes: Vec<Node>,
-    pool: Vec<Message>,
+    in_flight: Vec<Message>,
     requests: Vec<Request>,
     first_use: BTreeMap<Key, Moment>,
-    runs: HashMap<Key, u32>,
+    run_counts: HashMap<Key, u32>,
     vm_of_boot: HashMap<BootId, usize>,
-    /// Claims to be given back, not before these moments.
+    /// Claims to release, with the earliest time of release.
     releases: Vec<(Moment, BootId, Key)>,
-    /// Keys whose last request was told not-run, while no other is under way.
-    barred: BTreeSet<Key>,
+    /// Keys whose last request was reported as not run and that have no request in progress.
+    not_run_keys: BTreeSet<Key>,
     next_key: Key,
     next_boot: u64,
 }
 
 impl World {
-    /// A service with `vms` upstreams.
+    /// Creates a service with `vms` upstreams.
     pub fn new(vms: usize) -> World {
         let mut world = World {
             now: Moment(1),
             vms,
             nodes: Vec::new(),
-            pool: Vec::new(),
+            in_flight: Vec::new(),
             requests: Vec::new(),
             first_use: BTreeMap::new(),
-            runs: HashMap::new(),
+            run_counts: HashMap::new(),
             vm_of_boot: HashMap::new(),
             releases: Vec::new(),
-            barred: BTreeSet::new(),
+            not_run_keys: BTreeSet::new(),
             next_key: 1,
             next_boot: 1,
         };
         for vm in 0..vms {
-            let node = world.node(vm);
+            let node = world.new_node(vm);
             world.nodes.push(node);
         }
         world
     }
 
-    /// A caller uses a key, new or used within its window, through the `rank`th of its ranking.
+    /// A caller sends a request with a key, new or used within its window, to the `rank`th VM of
+    /// its ranking.
     pub fn request(&mut self, fresh: bool, pick: usize, rank: usize) {
         let usable: Vec<Key> = self
             .first_use
@@ -165,49 +166,52 @@
             }
         };
         self.first_use.entry(key).or_insert(self.now);
-        self.barred.remove(&key);
+        self.not_run_keys.remove(&key);
         let request = self.requests.len();
-        self.requests.push(Request { key, told: None });
+        self.requests.push(Request {
+            key,
+            reported: None,
+        });
         let vm = self.ranking(key)[rank % self.vms.min(3)];
         let to = self.latest(vm).boot;
         self.send(BootId(0), to, Body::Relay { request });
     }
 
-    /// A message arrives; a busy upstream refuses an offer.
+    /// Delivers a message; a busy upstream refuses an offer.
     pub fn deliver(&mut self, pick: usize, busy: bool) {
-        if self.pool.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let message = self.pool.remove(pick % self.pool.len());
+        let message = self.in_flight.remove(pick % self.in_flight.len());
         let Some(index) = self.nodes.iter().position(|node| node.boot == message.to) else {
-            self.bounce(message);
+            self.fail_delivery(message);
             return;
         };
         if self.nodes[index].paused {
-            self.pool.push(message);
+            self.in_flight.push(message);
             return;
         }
-        self.arrive(index, message, busy);
+        self.handle(index, message, busy);
     }
 
-    /// A message is taken for lost by its sender, and may arrive all the same.
-    pub fn give_up_on(&mut self, pick: usize) {
-        if self.pool.is_empty() {
+    /// The sender of a message assumes that it is lost; it may still arrive.
+    pub fn time_out(&mut self, pick: usize) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let message = self.pool[pick % self.pool.len()].clone();
-        self.bounce(message);
+        let message = self.in_flight[pick % self.in_flight.len()].clone();
+        self.fail_delivery(message);
     }
 
-    /// A VM fails and is replaced; nothing is handed over.
+    /// A VM crashes and is replaced, without a handover of keys.
     pub fn kill(&mut self, vm: usize) {
         let vm = vm % self.vms;
         self.nodes.retain(|node| node.vm != vm || node.replaced);
         self.replace(vm);
     }
 
-    /// A frozen VM is taken for dead and replaced; it may thaw later.
-    pub fn replace_frozen(&mut self, vm: usize) {
+    /// A paused VM is assumed to have crashed and is replaced; it may resume later.
+    pub fn replace_paused(&mut self, vm: usize) {
         let vm = vm % self.vms;
         let index = self.latest_index(vm);
         if self.nodes[index].paused {
@@ -216,63 +220,63 @@
         }
     }
 
-    /// A planned stop: waits for its work, hands its keys over.
+    /// A planned restart, only while no key is active; hands the keys over to the successor.
     pub fn restart(&mut self, vm: usize) {
         let vm = vm % self.vms;
         let index = self.latest_index(vm);
         let node = &self.nodes[index];
         let known = !node.claims.is_uncertain(self.now);
-        if node.paused || !node.works.is_empty() || !known {
+        if node.paused || !node.active_keys.is_empty() || !known {
             return;
         }
         let mut keys: Vec<KeyHash> = node.table.known_keys().collect();
         keys.extend(node.claims.known_keys());
         self.nodes.remove(index);
-        let mut successor = self.node(vm);
+        let mut successor = self.new_node(vm);
         successor.table.adopt_keys(self.now, &keys);
         successor.claims.adopt_keys(self.now, &keys);
         self.nodes.push(successor);
     }
 
-    /// A node is frozen.
+    /// Pauses a node.
     pub fn pause(&mut self, vm: usize) {
         let index = self.latest_index(vm % self.vms);
         self.nodes[index].paused = true;
     }
 
-    /// A frozen node thaws; it notices the pause before it acts.
-    pub fn thaw(&mut self, pick: usize) {
-        let frozen: Vec<usize> = (0..self.nodes.len())
+    /// Resumes a paused node, which detects the pause before it acts.
+    pub fn resume(&mut self, pick: usize) {
+        let paused: Vec<usize> = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].paused)
             .collect();
-        if let Some(index) = frozen.get(pick % frozen.len().max(1)) {
+        if let Some(index) = paused.get(pick % paused.len().max(1)) {
             let node = &mut self.nodes[*index];
             node.paused = false;
-            node.thawed = true;
+            node.resumed = true;
             node.claims.set_uncertain_until(Moment(u64::MAX));
         }
     }
 
-    /// The platform tells a node that thawed whether it is the latest boot.
+    /// The platform confirms to a resumed node that it is the latest boot.
     pub fn confirm(&mut self, vm: usize) {
         let index = self.latest_index(vm % self.vms);
         let node = &mut self.nodes[index];
         if !node.paused {
-            node.thawed = false;
+            node.resumed = false;
             node.claims.clear_uncertainty();
-            node.claims.set_uncertain_until(node.unclean_until);
+            node.claims.set_uncertain_until(node.uncertain_until);
         }
     }
 
-    /// A boot that knows nothing of its predecessor asks the others.
+    /// A boot without its predecessor's keys queries the other nodes.
     pub fn recover(&mut self, vm: usize) {
         let index = self.latest_index(vm % self.vms);
         let node = &mut self.nodes[index];
-        if node.paused || node.unclean_until <= self.now {
+        if node.paused || node.uncertain_until <= self.now {
             return;
         }
-        let (me, boot) = (node.vm, node.boot);
-        let others: Vec<usize> = (0..self.vms).filter(|vm| *vm != me).collect();
+        let (own_vm, boot) = (node.vm, node.boot);
+        let others: Vec<usize> = (0..self.vms).filter(|vm| *vm != own_vm).collect();
         node.recovering = Some((others.clone(), Vec::new(), self.now));
         for vm in others {
             let to = self.latest(vm).boot;
@@ -280,18 +284,17 @@
         }
     }
 
-    /// Time passes.
     pub fn advance(&mut self, seconds: u64) {
         self.now = self.now + seconds * SECOND;
         self.release_due();
         for index in 0..self.nodes.len() {
-            let late: Vec<Key> = self.nodes[index]
-                .works
+            let expired: Vec<Key> = self.nodes[index]
+                .active_keys
                 .iter()
-                .filter(|(_, work)| self.now.since(work.began) > DEADLINE_US)
+                .filter(|(_, active)| self.now.since(active.started) > DEADLINE_US)
                 .map(|(key, _)| *key)
                 .collect();
-            for key in late {
+            for key in expired {
                 self.end(index, key, Outcome::Unknown);
             }
         }
@@ -311,19 +314,19 @@
         }
     }
 
-    /// The VM that is first in the ranking of the key used last.
+    /// First VM in the ranking of the most recently created key.
     pub fn first_of_last_key(&self) -> usize {
         self.ranking(self.next_key)[0]
     }
 
-    /// At most one run for each key.
+    /// Asserts that each key ran at most once.
     pub fn check(&self) {
-        for (key, runs) in &self.runs {
+        for (key, runs) in &self.run_counts {
             assert!(*runs <= 1, "key {key} ran {runs} times");
         }
     }
 
-    fn node(&mut self, vm: usize) -> Node {
+    fn new_node(&mut self, vm: usize) -> Node {
         self.next_boot += 1;
         self.vm_of_boot.insert(BootId(self.next_boot), vm);
         Node {
@@ -331,23 +334,23 @@
             boot: BootId(self.next_boot),
             table: KeyTable::new(100, 2),
             claims: Claims::new(100),
-            works: BTreeMap::new(),
-            ran: HashMap::new(),
+            active_keys: BTreeMap::new(),
+            ran_attempts: HashMap::new(),
             paused: false,
-            thawed: false,
+            resumed: false,
             replaced: false,
-            unclean_until: Moment(0),
+            uncertain_until: Moment(0),
             recovering: None,
             next_seq: 0,
         }
     }
 
     fn replace(&mut self, vm: usize) {
-        let mut successor = self.node(vm);
-        successor.unclean_until = self.now + KEY_RETENTION_US;
+        let mut successor = self.new_node(vm);
+        successor.uncertain_until = self.now + KEY_RETENTION_US;
         successor
             .claims
-            .set_uncertain_until(successor.unclean_until);
+            .set_uncertain_until(successor.uncertain_until);
         self.nodes.push(successor);
     }
 
@@ -373,7 +376,7 @@
             .collect()
     }
 
-    fn standing(&self, index: usize, key: Key) -> CoordinatorView {
+    fn coordinator_view(&self, index: usize, key: Key) -> CoordinatorView {
         let node = &self.nodes[index];
         CoordinatorView {
             own_vm: name(node.vm),
@@ -385,7 +388,7 @@
 
     fn send(&mut self, from: BootId, to: BootId, body: Body) {
         let sent = self.now;
-        self.pool.push(Message {
+        self.in_flight.push(Message {
             from,
             to,
             sent,
--- a/components/keys/tests/keys/world/protocol.rs
+++ b/components/keys/tests/keys/world/protocol.rs
@@ -1,7 +1,9 @@
-//! What the nodes of the world do with each message, in the order of the daemon's coordinator.
+//! Handling of each message by the simulated nodes, in the same order as in the daemon's coordinator.
 
 use super::DEADLINE_US;
-use super::{hash, index_of, name, Body, Key, Message, OfferReply, Outcome, Request, Work, World};
+use super::{
+    hash, index_of, name, ActiveKey, Body, Key, Message, OfferReply, Outcome, Request, World,
+};
 use keys::{
     combine_replies, ClaimReply, CoordinatorView, KeyAction, KeyHash, KeyOutcome, KEY_RETENTION_US,
     MAX_KEY_DEADLINE_US,
@@ -9,7 +11,7 @@
 use names::{AttemptId, BootId, Moment, Name};
 
 impl World {
-    pub(super) fn arrive(&mut self, index: usize, message: Message, busy: bool) {
+    pub(super) fn handle(&mut self, index: usize, message: Message, busy: bool) {
         let Message {
             from,
             to,
@@ -18,8 +20,8 @@
         } = message;
         let expired = self.now.since(sent) > DEADLINE_US;
         match body {
-            Body::Relay { request } if expired => self.tell(request, Outcome::Unknown),
-            Body::Relay { request } => self.relayed(index, request, sent),
+            Body::Relay { request } if expired => self.report(request, Outcome::Unknown),
+            Body::Relay { request } => self.on_relay(index, request, sent),
             Body::Claim { key } => {
                 let reply = self.grant(index, key, from);
                 let vm = self.nodes[index].vm;
@@ -33,9 +35,9 @@
                     },
                 );
             }
-            Body::Claimed { key, from, reply } => self.claimed(index, key, from, reply),
+            Body::Claimed { key, from, reply } => self.on_claim_reply(index, key, from, reply),
             Body::Offer { key, id } => {
-                let reply = self.offered(index, key, id, busy || expired);
+                let reply = self.on_offer(index, key, id, busy || expired);
                 let vm = self.nodes[index].vm;
                 self.send(
                     to,
@@ -47,21 +49,21 @@
                     },
                 );
             }
-            Body::Offered { key, from, reply } => self.offer_ended(index, key, from, reply),
+            Body::Offered { key, from, reply } => self.on_offer_reply(index, key, from, reply),
             Body::Release { key } => self.nodes[index].claims.release(hash(key), from),
-            Body::Recover => self.asked_to_recover(index, from),
-            Body::Recovered { from, keys: known } => self.recovered(index, from, known),
+            Body::Recover => self.on_recovery_query(index, from),
+            Body::Recovered { from, keys: known } => self.on_recovery_reply(index, from, known),
         }
     }
 
-    /// What a sender makes of a message that was not answered.
-    pub(super) fn bounce(&mut self, message: Message) {
+    /// The sender's handling of a message without a reply.
+    pub(super) fn fail_delivery(&mut self, message: Message) {
         let sender = self.nodes.iter().position(|node| node.boot == message.from);
         match message.body {
-            Body::Relay { request } => self.tell(request, Outcome::Unknown),
+            Body::Relay { request } => self.report(request, Outcome::Unknown),
             Body::Claim { key } => {
                 if let (Some(sender), Some(vm)) = (sender, self.vm_of(message.to)) {
-                    self.claimed(sender, key, vm, ClaimReply::Uncertain);
+                    self.on_claim_reply(sender, key, vm, ClaimReply::Uncertain);
                 }
             }
             Body::Offer { key, .. } => {
@@ -89,36 +91,36 @@
         name(self.vm_of_boot[&boot])
     }
 
-    fn relayed(&mut self, index: usize, request: usize, sent: Moment) {
+    fn on_relay(&mut self, index: usize, request: usize, sent: Moment) {
         let key = self.requests[request].key;
-        let standing = self.standing(index, key);
+        let view = self.coordinator_view(index, key);
         let now = self.now;
         let node = &mut self.nodes[index];
-        match node
-            .table
-            .begin(now, hash(key), sent, standing.must_claim())
-        {
+        match node.table.begin(now, hash(key), sent, view.must_claim()) {
             KeyAction::Join => {
-                let work = node.works.get_mut(&key).expect("a running key has work");
-                work.requests.push(request);
+                let active = node
+                    .active_keys
+                    .get_mut(&key)
+                    .expect("a running key is active");
+                active.requests.push(request);
             }
             KeyAction::Replay(answer) => {
-                assert_eq!(answer, key, "the answer of another key");
-                self.tell(request, Outcome::Answered);
+                assert_eq!(answer, key, "answer of another key");
+                self.report(request, Outcome::Answered);
             }
-            KeyAction::Unknown | KeyAction::Full => self.tell(request, Outcome::Unknown),
+            KeyAction::Unknown | KeyAction::Full => self.report(request, Outcome::Unknown),
             KeyAction::Run => {
-                self.start_work(index, key, request, &standing, false);
+                self.activate_key(index, key, request, &view, false);
                 self.offer_next(index, key);
             }
             KeyAction::Claim => {
-                self.start_work(index, key, request, &standing, true);
-                self.claim_all(index, key, &standing);
+                self.activate_key(index, key, request, &view, true);
+                self.claim_all(index, key, &view);
             }
         }
     }
 
-    fn asked_to_recover(&mut self, index: usize, from: BootId) {
+    fn on_recovery_query(&mut self, index: usize, from: BootId) {
         let now = self.now;
         let Some(vm) = self.vm_of(from) else {
             return;
@@ -128,77 +130,80 @@
         let mut keys: Vec<KeyHash> = node.table.known_keys().collect();
         keys.extend(node.claims.known_keys());
         let uncertain_us = node.claims.uncertain_for_us(now);
-        let sure = latest && uncertain_us <= KEY_RETENTION_US;
+        let is_certain = latest && uncertain_us <= KEY_RETENTION_US;
         let body = Body::Recovered {
             from: node.vm,
-            keys: sure.then_some((keys, uncertain_us)),
+            keys: is_certain.then_some((keys, uncertain_us)),
         };
         let boot = node.boot;
         self.send(boot, from, body);
     }
 
-    fn recovered(&mut self, index: usize, from: usize, known: Option<(Vec<KeyHash>, u64)>) {
+    fn on_recovery_reply(&mut self, index: usize, from: usize, known: Option<(Vec<KeyHash>, u64)>) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        let (Some((waiting, learned, until)), Some((keys, uncertain_us))) =
+        let (Some((awaited, learned, until)), Some((keys, uncertain_us))) =
             (&mut node.recovering, known)
         else {
             node.recovering = None;
             return;
         };
-        waiting.retain(|vm| *vm != from);
+        awaited.retain(|vm| *vm != from);
         learned.extend(keys);
         *until = (*until).max(now + uncertain_us);
-        if !waiting.is_empty() {
+        if !awaited.is_empty() {
             return;
         }
         node.table.adopt_keys(now, learned);
         node.claims.adopt_keys(now, learned);
-        node.unclean_until = node.unclean_until.min(*until);
+        node.uncertain_until = node.uncertain_until.min(*until);
         node.recovering = None;
-        if !node.thawed {
+        if !node.resumed {
             node.claims.clear_uncertainty();
-            node.claims.set_uncertain_until(node.unclean_until);
+            node.claims.set_uncertain_until(node.uncertain_until);
         }
     }
 
-    fn start_work(
+    fn activate_key(
         &mut self,
         index: usize,
         key: Key,
         request: usize,
-        standing: &CoordinatorView,
+        view: &CoordinatorView,
         claimed: bool,
     ) {
-        let mut candidates: Vec<usize> = standing
+        let mut candidates: Vec<usize> = view
             .members
             .iter()
-            .filter(|vm| standing.may_run_at(vm))
+            .filter(|vm| view.may_run_at(vm))
             .map(index_of)
             .collect();
         let turn = self.nodes[index].boot.0 as usize % candidates.len().max(1);
         candidates.rotate_left(turn);
-        let work = Work {
-            began: self.now,
+        let active = ActiveKey {
+            started: self.now,
             claimed,
-            waiting: Vec::new(),
+            awaited: Vec::new(),
             replies: Vec::new(),
             candidates,
             contacted: false,
             requests: vec![request],
         };
-        self.nodes[index].works.insert(key, work);
+        self.nodes[index].active_keys.insert(key, active);
     }
 
-    fn claim_all(&mut self, index: usize, key: Key, standing: &CoordinatorView) {
-        let asked: Vec<usize> = standing.claim_targets().map(index_of).collect();
-        let (me, boot) = (self.nodes[index].vm, self.nodes[index].boot);
-        let work = self.nodes[index].works.get_mut(&key).expect("just made");
-        work.waiting = asked.clone();
-        for vm in asked {
-            if vm == me {
+    fn claim_all(&mut self, index: usize, key: Key, view: &CoordinatorView) {
+        let targets: Vec<usize> = view.claim_targets().map(index_of).collect();
+        let (own_vm, boot) = (self.nodes[index].vm, self.nodes[index].boot);
+        let active = self.nodes[index]
+            .active_keys
+            .get_mut(&key)
+            .expect("activated before");
+        active.awaited = targets.clone();
+        for vm in targets {
+            if vm == own_vm {
                 let reply = self.grant(index, key, boot);
-                self.claimed(index, key, vm, reply);
+                self.on_claim_reply(index, key, vm, reply);
             } else {
                 let to = self.latest(vm).boot;
                 self.send(boot, to, Body::Claim { key });
@@ -216,27 +221,27 @@
             ClaimReply::Held => ClaimReply::Held,
             ClaimReply::Uncertain => ClaimReply::Uncertain,
             ClaimReply::Ran | ClaimReply::Answered(()) => ran
-                .and_then(|id| node.ran.get(&id).copied())
+                .and_then(|id| node.ran_attempts.get(&id).copied())
                 .map_or(ClaimReply::Ran, ClaimReply::Answered),
         }
     }
 
-    fn claimed(&mut self, index: usize, key: Key, from: usize, reply: ClaimReply<Key>) {
-        let Some(work) = self.nodes[index].works.get_mut(&key) else {
+    fn on_claim_reply(&mut self, index: usize, key: Key, from: usize, reply: ClaimReply<Key>) {
+        let Some(active) = self.nodes[index].active_keys.get_mut(&key) else {
             return;
         };
-        let Some(position) = work.waiting.iter().position(|vm| *vm == from) else {
+        let Some(position) = active.awaited.iter().position(|vm| *vm == from) else {
             return;
         };
-        work.waiting.remove(position);
-        work.replies.push(reply);
-        if !work.waiting.is_empty() {
+        active.awaited.remove(position);
+        active.replies.push(reply);
+        if !active.awaited.is_empty() {
             return;
         }
-        match combine_replies(work.replies.drain(..)) {
+        match combine_replies(active.replies.drain(..)) {
             ClaimReply::Granted => self.offer_next(index, key),
             ClaimReply::Answered(answer) => {
-                assert_eq!(answer, key, "the answer of another key");
+                assert_eq!(answer, key, "answer of another key");
                 self.release(index, key);
                 self.end(index, key, Outcome::Answered);
             }
@@ -249,9 +254,9 @@
 
     fn offer_next(&mut self, index: usize, key: Key) {
         let node = &mut self.nodes[index];
-        let work = node.works.get_mut(&key).expect("it is being worked on");
-        let (claimed, contacted) = (work.claimed, work.contacted);
-        let Some(vm) = work.candidates.pop() else {
+        let active = node.active_keys.get_mut(&key).expect("the key is active");
+        let (claimed, contacted) = (active.claimed, active.contacted);
+        let Some(vm) = active.candidates.pop() else {
             let outcome = if contacted {
                 Outcome::NotRun
             } else {
@@ -275,7 +280,7 @@
         self.send(from, to, Body::Offer { key, id });
     }
 
-    fn offered(&mut self, index: usize, key: Key, id: AttemptId, busy: bool) -> OfferReply {
+    fn on_offer(&mut self, index: usize, key: Key, id: AttemptId, busy: bool) -> OfferReply {
         let now = self.now;
         let vm = self.name_of(id.boot);
         let node = &mut self.nodes[index];
@@ -283,8 +288,8 @@
             ClaimReply::Granted if busy => OfferReply::Busy,
             ClaimReply::Granted => {
                 node.claims.attempt_started(hash(key), id);
-                node.ran.insert(id, key);
-                self.ran(key);
+                node.ran_attempts.insert(id, key);
+                self.record_run(key);
                 OfferReply::Ran
             }
             ClaimReply::Uncertain => OfferReply::Uncertain,
@@ -292,29 +297,32 @@
         }
     }
 
-    /// A key may run only for a request that nobody was told was not run.
-    fn ran(&mut self, key: Key) {
-        *self.runs.entry(key).or_insert(0) += 1;
+    /// Asserts that the key runs only while a request with it was not reported as not run.
+    fn record_run(&mut self, key: Key) {
+        *self.run_counts.entry(key).or_insert(0) += 1;
         assert!(
-            !self.barred.contains(&key),
-            "key {key} ran after its last request was told not-run"
+            !self.not_run_keys.contains(&key),
+            "key {key} ran after its last request was reported as not run"
         );
         let wanted = self
             .requests
             .iter()
-            .any(|request| request.key == key && request.told != Some(Outcome::NotRun));
-        assert!(wanted, "key {key} ran after every request was told not-run");
+            .any(|request| request.key == key && request.reported != Some(Outcome::NotRun));
+        assert!(
+            wanted,
+            "key {key} ran after every request was reported as not run"
+        );
     }
 
-    fn offer_ended(&mut self, index: usize, key: Key, _from: usize, reply: OfferReply) {
-        let Some(work) = self.nodes[index].works.get_mut(&key) else {
+    fn on_offer_reply(&mut self, index: usize, key: Key, _from: usize, reply: OfferReply) {
+        let Some(active) = self.nodes[index].active_keys.get_mut(&key) else {
             return;
         };
         match reply {
             OfferReply::Ran => self.end(index, key, Outcome::Answered),
             OfferReply::KeyUsed => self.end(index, key, Outcome::Unknown),
             OfferReply::Busy => {
-                work.contacted = true;
+                active.contacted = true;
                 self.offer_next(index, key);
             }
             OfferReply::Uncertain => self.offer_next(index, key),
@@ -322,9 +330,9 @@
     }
 
     pub(super) fn release(&mut self, index: usize, key: Key) {
-        let (me, boot) = (self.nodes[index].vm, self.nodes[index].boot);
+        let (own_vm, boot) = (self.nodes[index].vm, self.nodes[index].boot);
         for vm in 0..self.vms {
-            if vm == me {
+            if vm == own_vm {
                 self.nodes[index].claims.release(hash(key), boot);
             } else {
                 let to = self.latest(vm).boot;
@@ -335,7 +343,7 @@
 
     pub(super) fn end(&mut self, index: usize, key: Key, outcome: Outcome) {
         let now = self.now;
-        let Some(work) = self.nodes[index].works.remove(&key) else {
+        let Some(active) = self.nodes[index].active_keys.remove(&key) else {
             return;
         };
         let end = match outcome {
@@ -344,28 +352,28 @@
             Outcome::Unknown => KeyOutcome::Unknown,
         };
         self.nodes[index].table.end(now, hash(key), end);
-        for request in work.requests {
-            self.tell(request, outcome);
+        for request in active.requests {
+            self.report(request, outcome);
         }
     }
 
-    fn tell(&mut self, request: usize, outcome: Outcome) {
+    fn report(&mut self, request: usize, outcome: Outcome) {
         let key = self.requests[request].key;
-        let runs = self.runs.get(&key).copied().unwrap_or(0);
+        let runs = self.run_counts.get(&key).copied().unwrap_or(0);
         match outcome {
-            Outcome::NotRun => assert_eq!(runs, 0, "key {key} ran and was told not-run"),
+            Outcome::NotRun => assert_eq!(runs, 0, "key {key} ran and was reported as not run"),
             Outcome::Answered => assert_eq!(runs, 1, "key {key} was answered and did not run"),
             Outcome::Unknown => {}
         }
-        if self.requests[request].told.is_some() {
+        if self.requests[request].reported.is_some() {
             return;
         }
-        self.requests[request].told = Some(outcome);
-        let open = |request: &Request| request.key == key && request.told.is_none();
+        self.requests[request].reported = Some(outcome);
+        let open = |request: &Request| request.key == key && request.reported.is_none();
         let latest = self.requests.iter().rposition(|other| other.key == key);
         if outcome == Outcome::NotRun && latest == Some(request) && !self.requests.iter().any(open)
         {
-            self.barred.insert(key);
+            self.not_run_keys.insert(key);
         }
     }
 }
--- a/components/watch/src/duty.rs
+++ b/components/watch/src/duty.rs
@@ -11,27 +11,27 @@
 
 /// Watchers of a hall: with two, the loss of one has no effect on the others.
 pub const WATCHERS_PER_HALL: usize = 2;
-/// Longest random delay of nodes that know only one watcher, in microseconds. It can be long, since changes
-/// still arrive through that watcher.
+/// Longest random delay of nodes that know only one watcher, in microseconds. It can be long, since
+/// changes still arrive through that watcher.
 const SECOND_WATCHER_JITTER_US: u64 = 4 * SECOND;
-/// Wait of a node before its first query when the whole fleet starts for the first time, and the longest
-/// random delay after it, in microseconds: until the nodes know one another, each would watch for itself,
-/// and nothing is served yet.
+/// Wait of a node before its first query when the whole fleet starts for the first time, and the
+/// longest random delay after it, in microseconds: until the nodes know one another, each would
+/// watch for itself, and nothing is served yet.
 const FIRST_START_WAIT_US: u64 = 4 * SECOND;
 const FIRST_START_JITTER_US: u64 = 2 * SECOND;
 /// Longest wait of a node that starts with the whole fleet for connections to half of its hall, in
 /// microseconds: the more nodes, the longer that takes.
 const FIRST_START_CONNECT_TIMEOUT_US: u64 = 20 * SECOND;
-/// Longest wait of such a node while it knows no other node, in microseconds: nodes learn of one another
-/// once their upstreams have registered.
+/// Longest wait of such a node while it knows no other node, in microseconds: nodes learn of one
+/// another once their upstreams have registered.
 const FIRST_START_ALONE_US: u64 = 10 * SECOND;
-/// Factor on the number of nodes in [`Watch::draw_delay`], which makes the first query of a hall later: on
-/// average one node in this many halls draws no delay.
+/// Factor on the number of nodes in [`Watch::draw_delay`], which makes the first query of a hall
+/// later: on average one node in this many halls draws no delay.
 const DELAY_SKEW: f64 = 4.0;
 /// A node that has received no notice of any other for longer than this is alone, in microseconds.
 const ALONE_AFTER_US: u64 = 2 * SECOND;
-/// Shortest and longest pause of a node that is alone after a failed call, in microseconds; it doubles with
-/// each further one.
+/// Shortest and longest pause of a node that is alone after a failed call, in microseconds; it
+/// doubles with each further one.
 const MIN_PAUSE_US: u64 = 100 * MILLISECOND;
 const MAX_PAUSE_US: u64 = 3 * SECOND;
 /// Topic of the rendezvous ranking of watchers.
@@ -61,11 +61,12 @@
     FirstWatcher,
 }
 
-/// Decides whether this node queries the platform or relies on others of its hall that do. It relies on them
-/// as long as its state was recently confirmed to be the newest, not as long as they report that they watch.
+/// Decides whether this node queries the platform or relies on others of its hall that do. It
+/// relies on them as long as its state was recently confirmed to be the newest, not as long as they
+/// report that they watch.
 ///
-/// Calls to the platform are the scarcest shared resource: when each of 295 nodes watched for itself, a
-/// test day of 48 s took 10 to 22 calls per node.
+/// Calls to the platform are the scarcest shared resource: when each of 295 nodes watched for
+/// itself, a test day of 48 s took 10 to 22 calls per node.
 #[derive(Debug, Clone)]
 pub struct Watch {
     own_vm: Name,
@@ -76,7 +77,8 @@
     freshness: Freshness,
     /// Random delay of the next confirmation query of this node while it watches, in microseconds.
     confirm_delay_us: u64,
-    /// Draws that delay; separate from `rng`, so that polls of watchers don't change the other delays.
+    /// Draws that delay; separate from `rng`, so that polls of watchers don't change the other
+    /// delays.
     confirm_rng: SmallRng,
     /// When the last notice of any other node arrived.
     last_notice: Option<Moment>,
@@ -95,8 +97,8 @@
 }
 
 impl Watch {
-    /// Creates the state of a node that has just started. `first_start`: the whole fleet starts for the first
-    /// time.
+    /// Creates the state of a node that has just started. `first_start`: the whole fleet starts for
+    /// the first time.
     pub fn new(own_vm: Name, timing: Timing, now: Moment, first_start: bool, seed: u64) -> Watch {
         let mut watch = Watch {
             own_vm,
@@ -131,9 +133,10 @@
         watch
     }
 
-    /// Updates how many nodes of the hall are known, and to how many of them a connection is open. A node that
-    /// has just started doesn't query the platform until it can receive the notices of others that do: without
-    /// this wait, each node queried for itself while connections were still being opened.
+    /// Updates how many nodes of the hall are known, and to how many of them a connection is open.
+    /// A node that has just started doesn't query the platform until it can receive the notices of
+    /// others that do: without this wait, each node queried for itself while connections were still
+    /// being opened.
     pub fn on_connections(&mut self, now: Moment, known: usize, open: usize) {
         self.hall_nodes = known + 1;
         let Some(until) = self.connect_deadline else {
@@ -216,8 +219,8 @@
         }
     }
 
-    /// Whether this node, whose watch has just ended, renews it. It stops watching when enough other watchers
-    /// precede it in the ranking.
+    /// Whether this node, whose watch has just ended, renews it. It stops watching when enough
+    /// other watchers precede it in the ranking.
     pub fn keep_watching(&mut self, now: Moment) -> bool {
         let own_rank = rendezvous(RANKING_TOPIC, &self.own_vm);
         let preceding = self
@@ -244,14 +247,16 @@
         self.freshness = Freshness::default();
     }
 
-    /// When this node, which watches, queries the platform again unless its state is confirmed meanwhile.
+    /// When this node, which watches, queries the platform again unless its state is confirmed
+    /// meanwhile.
     pub fn next_confirmation(&self, now: Moment) -> Moment {
         let wait_us = self.timing.confirm_after_us + self.confirm_delay_us;
         let age_us = self.age_us(now).unwrap_or(wait_us);
         now + wait_us.saturating_sub(age_us)
     }
 
-    /// Time since the platform was last known to hold nothing newer, in microseconds; none if it never was.
+    /// Time since the platform was last known to hold nothing newer, in microseconds; none if it
+    /// never was.
     pub fn age_us(&self, now: Moment) -> Option<u64> {
         self.freshness.age_us(now)
     }
@@ -302,8 +307,8 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Postpones the query because another node has just tried or tries now: one try at a time is enough for a
-    /// hall, however many nodes find at the same time that there is no watcher.
+    /// Postpones the query because another node has just tried or tries now: one try at a time is
+    /// enough for a hall, however many nodes find at the same time that there is no watcher.
     fn defer_to_other(&mut self, now: Moment) {
         let earliest = now + self.timing.jitter_us + self.draw_delay(self.timing.jitter_us);
         self.query_at = self.query_at.max(earliest);
@@ -314,9 +319,10 @@
             .is_none_or(|at| now.since(at) > ALONE_AFTER_US)
     }
 
-    /// A random delay up to `max_us`, usually close to it, so that in a hall of any size few nodes query before
-    /// they receive the notice of the first one: of n nodes, `(DELAY_SKEW n)^(t / max) / DELAY_SKEW` on average
-    /// draw a delay up to t. With a uniform distribution it would be `n t / max`.
+    /// A random delay up to `max_us`, usually close to it, so that in a hall of any size few nodes
+    /// query before they receive the notice of the first one. Of n nodes, on average
+    /// `(DELAY_SKEW n)^(t / max) / DELAY_SKEW` draw a delay up to t; with a uniform distribution it
+    /// would be `n t / max`.
     fn draw_delay(&mut self, max_us: u64) -> u64 {
         let log_nodes = (self.hall_nodes as f64 * DELAY_SKEW).ln();
         let sample: f64 = self.rng.random_range(f64::MIN_POSITIVE..=1.0);
--- a/components/watch/src/freshness.rs
+++ b/components/watch/src/freshness.rs
@@ -2,16 +2,17 @@
 
 use names::Moment;
 
-/// When the platform was last known to hold nothing newer than this node does. A notice of a watcher is no
-/// confirmation of that: the connection of its watch may be unresponsive and still open.
+/// When the platform was last known to hold nothing newer than this node does. A notice of a
+/// watcher is no confirmation of that: the connection of its watch may be unresponsive and still
+/// open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Freshness {
     as_of: Option<Moment>,
 }
 
 impl Freshness {
-    /// Records that the platform held nothing newer at `as_of`, as reported by the platform or by another
-    /// node. Returns whether this is later than any confirmation so far.
+    /// Records that the platform held nothing newer at `as_of`, as reported by the platform or by
+    /// another node. Returns whether this is later than any confirmation so far.
     pub fn confirm(&mut self, as_of: Moment) -> bool {
         let is_later = self.as_of < Some(as_of);
         if is_later {
--- a/components/watch/src/lib.rs
+++ b/components/watch/src/lib.rs
@@ -1,11 +1,11 @@
 //! Watch: selects the nodes of a hall that query the platform for updates on behalf of the others.
 //!
-//! Two nodes of each hall hold a watch on the platform and send keep-alive notices to the others several
-//! times a second ([`WatchNotice`]); nodes that receive them don't query the platform. There is no
-//! election: a node that knows too few watchers becomes one after a random delay, and a watcher stops
-//! when enough others precede it in the rendezvous ranking ([`Watch`]). A node that receives no notices,
-//! because the watchers are gone or unreachable, queries the platform itself within a fraction of the
-//! time within which a change must be in force ([`Timing`]).
+//! Two nodes of each hall hold a watch on the platform and send keep-alive notices to the others
+//! several times a second ([`WatchNotice`]); nodes that receive them don't query the platform.
+//! There is no election: a node that knows too few watchers becomes one after a random delay, and a
+//! watcher stops when enough others precede it in the rendezvous ranking ([`Watch`]). A node that
+//! receives no notices, because the watchers are gone or unreachable, queries the platform itself
+//! within a fraction of the time within which a change must be in force ([`Timing`]).
 
 mod duty;
 mod first_read;
--- a/components/watch/src/postponed.rs
+++ b/components/watch/src/postponed.rs
@@ -3,8 +3,8 @@
 use crate::AllowedWork;
 use names::Name;
 
-/// Maximum number of stored peers. One that has the declarations is enough; others may have terminated
-/// meanwhile.
+/// Maximum number of stored peers. One that has the declarations is enough; others may have
+/// terminated meanwhile.
 pub const MAX_POSTPONED: usize = 8;
 
 /// Peers to query once that is allowed, each with a link to it. A peer sends its summary once per
--- a/components/watch/src/waiting.rs
+++ b/components/watch/src/waiting.rs
@@ -2,8 +2,8 @@
 
 use std::cell::Cell;
 
-/// Maximum number of callers that wait at the same time: at 300 requests per second, a node receives that
-/// many within 1.7 s.
+/// Maximum number of callers that wait at the same time: at 300 requests per second, a node
+/// receives that many within 1.7 s.
 pub const MAX_WAITING: usize = 512;
 /// Maximum size of their requests in total, in bytes; the same limit as for pipelined answers.
 pub const MAX_WAITING_BYTES: usize = 4 * 1024 * 1024;
--- a/components/watch/tests/watch/first_read.rs
+++ b/components/watch/tests/watch/first_read.rs
@@ -1,7 +1,7 @@
 //! What a node that has just started may do before its declarations are in force.
 //!
-//! Load pattern: all nodes of a fleet start at once. When each of them first opened connections to its whole
-//! hall, its declarations came into force later by the time that this took.
+//! Load pattern: all nodes of a fleet start at once. When each of them first opened connections to
+//! its whole hall, its declarations came into force later by the time that this took.
 
 use names::{Moment, MILLISECOND};
 use watch::{
--- a/components/watch/tests/watch/main.rs
+++ b/components/watch/tests/watch/main.rs
@@ -1,4 +1,5 @@
-//! Which nodes query the platform: few, and always one that is answered, under any partition of the hall.
+//! Which nodes query the platform: few, and always one that is answered, under any partition of the
+//! hall.
 
 mod first_read;
 mod postponed;
@@ -10,8 +11,8 @@
 
 /// Number of nodes of a large hall.
 const NODES: usize = 60;
-/// Time within which a hall in which some node is answered has a watcher again: the notices time out, one
-/// call may fail first, and another node makes the next one.
+/// Time within which a hall in which some node is answered has a watcher again: the notices time
+/// out, one call may fail first, and another node makes the next one.
 const REPLACEMENT_US: u64 = BOUND_US * 2 / 3;
 
 #[test]
@@ -210,8 +211,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Under any sequence of partitions, rejections and crashes: once the faults stop changing, each running
-    /// node receives notices of a watcher or watches itself, if it or any node that it can reach is answered.
+    /// Under any sequence of partitions, rejections and crashes: once the faults stop changing,
+    /// each running node receives notices of a watcher or watches itself, if it or any node that it
+    /// can reach is answered.
     #[test]
     fn every_node_that_can_be_covered_by_a_watcher_is_covered(
         seed in 0u64..1_000,
@@ -238,9 +240,13 @@
         for index in (0..12).filter(|index| is_running(*index)) {
             let can_receive_from = |other: &usize| is_connected(index) && is_connected(*other);
             let reaches = |other: &usize| *other == index || can_receive_from(other);
-            let can_be_covered = (0..12).any(|other| is_running(other) && is_served(other) && reaches(&other));
+            let can_be_covered =
+                (0..12).any(|other| is_running(other) && is_served(other) && reaches(&other));
             let is_covered = watchers.iter().any(reaches);
-            prop_assert!(is_covered || !can_be_covered, "node {index}, watchers {watchers:?}, {state:?}");
+            prop_assert!(
+                is_covered || !can_be_covered,
+                "node {index}, watchers {watchers:?}, {state:?}"
+            );
         }
     }
 }
--- a/components/watch/tests/watch/postponed.rs
+++ b/components/watch/tests/watch/postponed.rs
@@ -1,8 +1,8 @@
 //! Peers whose summaries arrive while a node is not allowed to query them.
 //!
-//! Guards against a node that queries nobody while its store hangs: when a single node restarts, its peers
-//! connect and send their summaries before the store has had time to answer. The summaries were dropped, and
-//! peers don't repeat them.
+//! Guards against a node that queries nobody while its store hangs: when a single node restarts,
+//! its peers connect and send their summaries before the store has had time to answer. The
+//! summaries were dropped, and peers don't repeat them.
 
 use names::{Moment, Name, MILLISECOND};
 use watch::{FirstRead, PostponedPeers, ANSWER_TIMEOUT_US, MAX_POSTPONED, READ_TIMEOUT_US};
--- a/components/watch/tests/watch/world.rs
+++ b/components/watch/tests/watch/world.rs
@@ -1,5 +1,5 @@
-//! Simulated hall of nodes on one clock, with a platform that answers some of them and whose open watches may
-//! stall.
+//! Simulated hall of nodes on one clock, with a platform that answers some of them and whose open
+//! watches may stall.
 
 use names::{Moment, Name, MILLISECOND, SECOND};
 use watch::{Advice, Timing, Watch, WatchNotice};
@@ -9,7 +9,8 @@
 /// Default delivery time of a notice, and duration of a call to the platform.
 const NOTICE_DELAY_US: u64 = MILLISECOND;
 const CALL_US: u64 = 10 * MILLISECOND;
-/// Duration of a call whose answer arrives at a few bytes per second: it does not time out before that.
+/// Duration of a call whose answer arrives at a few bytes per second: it does not time out before
+/// that.
 const HANGING_CALL_US: u64 = 30 * SECOND;
 /// Duration of one watch.
 const WATCH_US: u64 = 10 * SECOND;
@@ -245,7 +246,8 @@
                 node.watch.on_confirmed(started);
                 let was_watching = node.watch.is_watching();
                 if !was_watching || !was_up_to_date {
-                    // Another call returned what the watch should have reported: the watch is restarted.
+                    // Another call returned what the watch should have reported: the watch is
+                    // restarted.
                     node.watch.on_answer();
                     node.watch_ends = now + WATCH_US;
                     node.is_stalled = false;
