--- a/components/watch/tests/watch/main.rs
+++ b/components/watch/tests/watch/main.rs
@@ -234,7 +234,9 @@
         let is_served = |index: usize| state[index][1];
         let is_connected = |index: usize| state[index][2];
         // In the worst case each rejected node tries once before one that is answered.
-        let rejected = (0..12).filter(|index| is_running(*index) && !is_served(*index)).count() as u64;
+        let rejected = (0..12)
+            .filter(|index| is_running(*index) && !is_served(*index))
+            .count() as u64;
         world.run(4 * SECOND + rejected * SECOND);
         let watchers = world.watchers();
         for index in (0..12).filter(|index| is_running(*index)) {
