--- a/components/watch/src/first_read.rs
+++ b/components/watch/src/first_read.rs
@@ -106,9 +106,9 @@
     /// end of [`STARTUP_WAIT_US`], when it needs a reservation and the answer may have begun to
     /// arrive.
     pub fn next_check(&self, now: Moment, until: Moment) -> Moment {
-        let boundary = self.started + STARTUP_WAIT_US;
-        if now < boundary {
-            until.min(boundary)
+        let startup_wait_end = self.started + STARTUP_WAIT_US;
+        if now < startup_wait_end {
+            until.min(startup_wait_end)
         } else {
             until
         }
