--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -311,7 +311,7 @@
 
 fn knows_all_records(node: &Node) -> bool {
     let registration = node.registration.as_ref();
-    registration.is_none_or(|registration| registration.has_listed.get())
+    registration.is_none_or(|registration| registration.has_read_records.get())
 }
 
 /// The upstreams that registered for `service`, among which a request chooses.
@@ -335,8 +335,11 @@
 
 /// The service in whose name calls from this VM are made, and what says so.
 fn caller_named(node: &Node) -> Option<LocalService> {
-    let believed = node.registration.as_deref().and_then(registration::service);
-    let beside = registration::beside(node);
+    let believed = node
+        .registration
+        .as_deref()
+        .and_then(registration::local_service);
+    let beside = registration::configured_upstream(node);
     node.caller_name.choose(&beside, believed.as_ref())
 }
 
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -372,7 +372,7 @@
         after.split_off(surplus)
     };
     if after != before {
-        registration::hold(node, &registration, after);
+        registration::set_quarantined(node, &registration, after);
     }
 }
 
@@ -391,7 +391,7 @@
         }
     }
     if held.len() > before {
-        registration::hold(node, registration, held);
+        registration::set_quarantined(node, registration, held);
     }
 }
 
--- a/components/daemon/src/containment/ends.rs
+++ b/components/daemon/src/containment/ends.rs
@@ -118,7 +118,7 @@
     let Some(registration) = &node.registration else {
         return true;
     };
-    node.containment.has_predecessor.get() || !registration.has_listed.get()
+    node.containment.has_predecessor.get() || !registration.has_read_records.get()
 }
 
 /// Exchanges that were given up, and with which the upstream may have gone on until it ended.
@@ -153,6 +153,6 @@
     node.containment.probed.set(Some(now));
     let node = node.clone();
     local::spawn_contained("look for held requests", async move {
-        registration::look(&node, &registration).await;
+        registration::read_quarantined(&node, &registration).await;
     });
 }
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -28,7 +28,10 @@
     };
     let left = node.clock.time_until(job.deadline);
     let overrun_us = node.cfg.overrun_ms * MILLISECOND;
-    let expected = node.registration.as_deref().and_then(registration::current);
+    let expected = node
+        .registration
+        .as_deref()
+        .and_then(registration::local_incarnation);
     let options = options(node, id, job, left, expected.as_ref());
     let start = pool.incarnation_count();
     let exchange = pool.exchange(&job.req, &options);
@@ -144,7 +147,7 @@
         if let Some(expected) = expected {
             // The one that was meant, which need not be the one that stands here by now.
             if registration.local.borrow_mut().mark_absent(expected) {
-                registration::local_changed(node, registration, PriorStarts::Until(node.started));
+                registration::on_local_change(node, registration, PriorStarts::Until(node.started));
             }
         }
         return (Verdict::Shed, None);
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -225,7 +225,7 @@
             cold_us: u64::MAX,
         };
     };
-    let service = registration::service(registration);
+    let service = registration::local_service(registration);
     let registered = service.and_then(|service| in_force.declarations.registered.get(&service));
     match registered.and_then(|registered| registered.cold) {
         Some(cold) => ColdCapacity::Limited {
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -115,7 +115,7 @@
     }
     if let Some(address) = node.cfg.registrations {
         let door = bind(address).await?;
-        local::spawn(registration::serve_door(
+        local::spawn(registration::serve_registrations(
             node.clone(),
             registration.clone(),
             door,
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -100,35 +100,35 @@
         }
         Frame::Registered(record) => {
             if let Some(registration) = node.registration.clone() {
-                let source = registration::Source::Told(from, reply);
-                registration::taken(node, &registration, *record, source);
+                let source = registration::Source::Announced(from, reply);
+                registration::on_record(node, &registration, *record, source);
             }
         }
         Frame::Store(record) => {
             if let Some(registration) = node.registration.clone() {
-                registration::store_for(node, &registration, *record);
+                registration::store_for_peer(node, &registration, *record);
             }
         }
         Frame::RecordsDigest(digest) => {
             if let Some(registration) = &node.registration {
-                registration::digest_told(node, registration, digest, reply);
+                registration::on_digest(node, registration, digest, reply);
             }
         }
         Frame::RecordBuckets(bytes) => {
             if let Some(registration) = &node.registration {
-                registration::buckets_told(node, registration, &bytes, reply);
+                registration::on_buckets(node, registration, &bytes, reply);
             }
         }
         Frame::RecordVersions(versions) => {
             if let Some(registration) = &node.registration {
-                registration::versions_told(node, registration, &versions, reply);
+                registration::on_versions(node, registration, &versions, reply);
             }
         }
         Frame::Records(records) => {
             if let Some(registration) = node.registration.clone() {
                 for record in records {
                     let source = registration::Source::Compared(reply);
-                    registration::taken(node, &registration, record, source);
+                    registration::on_record(node, &registration, record, source);
                 }
             }
         }
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -89,7 +89,7 @@
         .instance
         .as_deref()
         .and_then(|name| http1::header_value(&answer.headers, name));
-    let expected = registration::current(registration);
+    let expected = registration::local_incarnation(registration);
     let expected = expected.as_ref().map(|expected| expected.id.as_str());
     if instance.is_some() && instance != expected {
         return failed("another upstream answers");
--- a/components/daemon/src/registration/door.rs
+++ b/components/daemon/src/registration/door.rs
@@ -1,6 +1,6 @@
 //! The door at which the upstream beside this node registers.
 
-use super::{health, is_believed, local_changed, Registration};
+use super::{health, matches_settings, on_local_change, Registration};
 use crate::home_driver;
 use crate::local;
 use crate::node::Node;
@@ -132,7 +132,7 @@
     let mut earlier = PriorStarts::Until(node.started);
     let (changed, taken) = match told {
         Told::Heartbeat(heartbeat) => {
-            if !is_believed(node, registration, &heartbeat.instance, "heartbeat") {
+            if !matches_settings(node, registration, &heartbeat.instance, "heartbeat") {
                 return Taken::NotBelieved;
             }
             if let Some(standing) = stands_already(node, registration, &heartbeat.instance).await {
@@ -165,7 +165,7 @@
         }
     };
     if changed {
-        local_changed(node, registration, earlier);
+        on_local_change(node, registration, earlier);
     }
     if let Some(cold_ms) = cold_ms {
         home_driver::cold_reported(node, cold_ms);
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -1,7 +1,7 @@
 //! A look at the upstream beside a node that has just started: the upstream runs on while its node
 //! is restarted, and its next registration may be seconds away.
 
-use super::{is_believed, local_changed, Registration};
+use super::{matches_settings, on_local_change, Registration};
 use crate::node::Node;
 use async_std::future::timeout;
 use async_std::task;
@@ -26,13 +26,13 @@
 /// Takes the run that an earlier start of this node knew, if it still runs and takes work.
 pub async fn find(node: Rc<Node>, registration: Rc<Registration>, earlier: Instance) {
     if registration.local.borrow().current().is_some()
-        || !is_believed(&node, &registration, &earlier, "record")
+        || !matches_settings(&node, &registration, &earlier, "record")
     {
         return;
     }
     if earlier.state != State::Ready {
         if registration.local.borrow_mut().restore_state(&earlier) {
-            local_changed(&node, &registration, PriorStarts::Until(node.started));
+            on_local_change(&node, &registration, PriorStarts::Until(node.started));
         }
         return;
     }
@@ -50,7 +50,7 @@
             let taken = registration.local.borrow_mut().adopt(earlier.clone());
             audit::found(&earlier, taken);
             if taken {
-                local_changed(&node, &registration, PriorStarts::Until(node.started));
+                on_local_change(&node, &registration, PriorStarts::Until(node.started));
             }
         }
         Err(error) => tracing::info!(%error, "the upstream of an earlier start was not found"),
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -7,12 +7,12 @@
 mod peers;
 mod records;
 
-pub use door::serve as serve_door;
-pub use offer::store_for;
+pub use door::serve as serve_registrations;
+pub use offer::store_for_peer;
 pub use peers::{
-    buckets_told, digest_told, run_dials, taken, tell_other_halls, versions_told, Source,
+    on_buckets, on_digest, on_record, on_versions, run_dials, send_to_other_halls, Source,
 };
-pub use records::{look, run as run_records, withdraw};
+pub use records::{read_quarantined, run as run_records, withdraw};
 
 use crate::home_driver;
 use crate::links::Reply;
@@ -43,13 +43,13 @@
     /// All nodes.
     pub fleet: RefCell<Fleet>,
     /// Whether the records in the store were read.
-    pub has_listed: Cell<bool>,
+    pub has_read_records: Cell<bool>,
     /// The store's era, and up to where the declarations were read in it.
     pub eras: RefCell<Eras>,
     /// Halls that are evacuated.
     pub evacuations: RefCell<Evacuations>,
     /// Answers of the store with declarations that are being taken in.
-    pub taking_in: Cell<u32>,
+    pub updates_in_progress: Cell<u32>,
     /// Records that arrive at the start and are told in one line.
     pub startup_records: RefCell<StartupRecords>,
     /// Peers that told of newer declarations while this node asked nobody.
@@ -88,10 +88,10 @@
             adapter,
             local: RefCell::default(),
             fleet: RefCell::new(Fleet::new(own)),
-            has_listed: Cell::new(false),
+            has_read_records: Cell::new(false),
             eras: RefCell::new(Eras::new(boot.0)),
             evacuations: RefCell::default(),
-            taking_in: Cell::new(0),
+            updates_in_progress: Cell::new(0),
             startup_records: RefCell::default(),
             postponed: RefCell::default(),
             announcement_deferred: Cell::new(false),
@@ -114,7 +114,7 @@
         self.evacuations.borrow().is_evacuated(now, hall)
     }
 
-    fn store_soon(&self) {
+    fn request_write(&self) {
         // A full channel means that the write is asked for already.
         self.changed.0.try_send(()).ok();
     }
@@ -123,7 +123,7 @@
 /// Whether a word about the upstream beside this node may be believed: one that names another service or address than
 /// the settings is not about it. When such words were believed, calls from this VM were made in the name of a service
 /// that nobody has, and its upstream got no work any more.
-pub fn is_believed(
+pub fn matches_settings(
     node: &Node,
     registration: &Registration,
     told: &Instance,
@@ -135,7 +135,7 @@
     }
     let in_force = node.in_force();
     let declared = |service: &Name| declared(in_force.as_deref(), service);
-    let beside = beside(node);
+    let beside = configured_upstream(node);
     let mismatch = beside.mismatch(told, declared);
     if let Some(mismatch) = mismatch {
         audit::not_beside(told, &beside, mismatch, source);
@@ -144,7 +144,7 @@
 }
 
 /// What the settings say of the upstream beside this node.
-pub fn beside(node: &Node) -> ConfiguredUpstream {
+pub fn configured_upstream(node: &Node) -> ConfiguredUpstream {
     let live = node.live.borrow();
     ConfiguredUpstream {
         service: live.service.clone(),
@@ -162,13 +162,13 @@
 }
 
 /// Has this node's record offered to the store when it is due: the store came back from an older copy.
-pub fn offer_soon(registration: &Registration) {
-    registration.store_soon();
+pub fn schedule_offer(registration: &Registration) {
+    registration.request_write();
 }
 
 /// Brings the home duty and this node's record in line with what is known of the upstream beside
 /// it, and tells the others. `earlier`: whether an earlier run of this node may have sent it work.
-pub fn local_changed(node: &Rc<Node>, registration: &Registration, earlier: PriorStarts) {
+pub fn on_local_change(node: &Rc<Node>, registration: &Registration, earlier: PriorStarts) {
     let current = registration.local.borrow().current().cloned();
     let before = registration.fleet.borrow().own().upstream.clone();
     let was_known = |run: &&Instance| {
@@ -207,29 +207,29 @@
         own.serving = serving;
     });
     audit::own_record(&own);
-    peers::tell_all(node, registration, &own);
-    registration.store_soon();
+    peers::announce(node, registration, &own);
+    registration.request_write();
 }
 
 /// Changes which requests this node's record holds, and tells the store and the other nodes.
-pub fn hold(node: &Rc<Node>, registration: &Registration, held: Vec<Fingerprint>) {
+pub fn set_quarantined(node: &Rc<Node>, registration: &Registration, held: Vec<Fingerprint>) {
     let own = registration
         .fleet
         .borrow_mut()
         .change_own(|own| own.quarantined = held);
     audit::own_record(&own);
-    peers::tell_all(node, registration, &own);
-    registration.store_soon();
+    peers::announce(node, registration, &own);
+    registration.request_write();
 }
 
 /// The service of the upstream that stands beside this node.
-pub fn service(registration: &Registration) -> Option<Name> {
+pub fn local_service(registration: &Registration) -> Option<Name> {
     let local = registration.local.borrow();
     local.current().map(|run| run.service.clone())
 }
 
 /// The start of the upstream that stands beside this node.
-pub fn current(registration: &Registration) -> Option<Incarnation> {
+pub fn local_incarnation(registration: &Registration) -> Option<Incarnation> {
     let local = registration.local.borrow();
     local.current().map(Instance::incarnation)
 }
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -98,7 +98,7 @@
 }
 
 /// Writes another node's record to the store for it.
-pub fn store_for(node: &Rc<Node>, registration: &Rc<Registration>, record: Record) {
+pub fn store_for_peer(node: &Rc<Node>, registration: &Rc<Registration>, record: Record) {
     if registration.storing.get() >= MOST_STORING || !record.version.is_plausible() {
         stats::bad_input("peer");
         tracing::info!(vm = %record.vm, "another node's record is not written: too many at once, or no node has its version");
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -56,7 +56,7 @@
 /// Tells this node's record to all others, directly or through others. While the first declarations are being read, a
 /// record by which the upstream takes work goes over open connections alone, and to the others afterwards ([`run_dials`]):
 /// telling it opens connections to the whole hall.
-pub fn tell_all(node: &Rc<Node>, registration: &Registration, own: &Record) {
+pub fn announce(node: &Rc<Node>, registration: &Registration, own: &Record) {
     let is_deferred = registry::can_defer(own)
         && !registration.upstream_replaced.get()
         && watching::allowed_work(node) != AllowedWork::Everything;
@@ -73,7 +73,7 @@
 }
 
 /// Sends a frame to one node of each other hall.
-pub fn tell_other_halls(node: &Rc<Node>, registration: &Registration, frame: &Frame) {
+pub fn send_to_other_halls(node: &Rc<Node>, registration: &Registration, frame: &Frame) {
     let fleet = registration.fleet.borrow();
     let told = registry::cross_hall_contacts(&fleet, 1, |vm| links::has_failed(node, vm));
     drop(fleet);
@@ -88,17 +88,22 @@
     /// The platform's store. Whoever reads its list says once that the fleet has changed.
     Store,
     /// A node that tells a change: its own, or one that it passes on.
-    Told(&'a Name, &'a Reply),
+    Announced(&'a Name, &'a Reply),
     /// A node that was found to know more. Some nodes of the hall are soon told the digest, so that they
     /// compare as well.
     Compared(&'a Reply),
 }
 
 /// Takes in a record.
-pub fn taken(node: &Rc<Node>, registration: &Rc<Registration>, record: Record, source: Source<'_>) {
+pub fn on_record(
+    node: &Rc<Node>,
+    registration: &Rc<Registration>,
+    record: Record,
+    source: Source<'_>,
+) {
     let (sender, reply) = match source {
         Source::Store => (None, None),
-        Source::Told(sender, reply) => (Some(sender), Some(reply)),
+        Source::Announced(sender, reply) => (Some(sender), Some(reply)),
         Source::Compared(reply) => (None, Some(reply)),
     };
     let vm = record.vm.clone();
@@ -160,8 +165,8 @@
             containment::succeed(node, registration, &offered);
             let own = registration.fleet.borrow_mut().supersede(version);
             audit::own_record(&own);
-            tell_all(node, registration, &own);
-            registration.store_soon();
+            announce(node, registration, &own);
+            registration.request_write();
             if let Some(earlier) = earlier {
                 local::spawn(health::find(node.clone(), registration.clone(), earlier));
             }
@@ -186,7 +191,7 @@
 }
 
 /// Answers a node that knows other records than this one.
-pub fn digest_told(node: &Rc<Node>, registration: &Registration, digest: u64, reply: &Reply) {
+pub fn on_digest(node: &Rc<Node>, registration: &Registration, digest: u64, reply: &Reply) {
     let fleet = registration.fleet.borrow();
     let digests = fleet.digests();
     if digests.combined() == digest {
@@ -198,7 +203,7 @@
 }
 
 /// Tells a node the versions of the records that it may know otherwise.
-pub fn buckets_told(node: &Rc<Node>, registration: &Registration, bytes: &[u8], reply: &Reply) {
+pub fn on_buckets(node: &Rc<Node>, registration: &Registration, bytes: &[u8], reply: &Reply) {
     let Some(theirs) = Digests::from_bytes(bytes) else {
         stats::bad_input("peer");
         return;
@@ -213,12 +218,7 @@
 }
 
 /// Sends what another node lacks, and asks for what this one lacks.
-pub fn versions_told(
-    node: &Rc<Node>,
-    registration: &Registration,
-    theirs: &Versions,
-    reply: &Reply,
-) {
+pub fn on_versions(node: &Rc<Node>, registration: &Registration, theirs: &Versions, reply: &Reply) {
     let fleet = registration.fleet.borrow();
     let compared = registry::compare(&fleet, theirs);
     let mine = compared
@@ -249,7 +249,7 @@
     }
     if registration.announcement_deferred.take() {
         let own = registration.fleet.borrow().own().clone();
-        tell_all(&node, &registration, &own);
+        announce(&node, &registration, &own);
     }
     local::spawn(log_startup_records(node.clone(), registration.clone()));
     let mut look = 0;
@@ -266,7 +266,7 @@
             links::dial(&node, vm);
         }
         look += 1;
-        if look % COMPARE_EVERY_LOOKS == 0 || !registration.has_listed.get() {
+        if look % COMPARE_EVERY_LOOKS == 0 || !registration.has_read_records.get() {
             compare(&node, &registration);
         }
         if registration.has_learned.take() {
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -63,7 +63,7 @@
         learn(&node, &registration, &mut stands).await;
     }
     learn_while_lonely(&node, &registration, &mut stands).await;
-    registration.store_soon();
+    registration.request_write();
     while registration.changed.1.recv().await.is_ok() {
         if offer::is_due(&registration) {
             offer::run(&node, &registration, &mut stands).await;
@@ -91,7 +91,7 @@
     timeout(pause, changed).await.ok();
     if offer::is_due(registration) {
         // The next turn offers the record.
-        registration.store_soon();
+        registration.request_write();
     }
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// Reads in the store which requests other nodes hold.
-pub async fn look(node: &Rc<Node>, registration: &Rc<Registration>) {
+pub async fn read_quarantined(node: &Rc<Node>, registration: &Rc<Registration>) {
     // What stands there of this node is known from its own writes.
     let mut stands = Stands::default();
     if let Err(error) = list(node, registration, &mut stands, Reading::Newest).await {
@@ -157,7 +157,9 @@
             break;
         }
     }
-    registration.has_listed.set(knows_others(registration));
+    registration
+        .has_read_records
+        .set(knows_others(registration));
 }
 
 /// Reads again, a few times, while no other node is known: an answer that lags may name nobody.
@@ -171,7 +173,7 @@
         pause *= 2;
         learn(node, registration, stands).await;
     }
-    registration.has_listed.set(true);
+    registration.has_read_records.set(true);
 }
 
 fn knows_others(registration: &Registration) -> bool {
@@ -204,7 +206,7 @@
                 node.quotas.restarted();
             }
         }
-        peers::taken(node, registration, record, Source::Store);
+        peers::on_record(node, registration, record, Source::Store);
     }
     node.fleet_changed();
     Ok(())
@@ -309,7 +311,7 @@
     if earlier.version >= own {
         let own = registration.fleet.borrow_mut().supersede(earlier.version);
         audit::own_record(&own);
-        peers::tell_all(node, registration, &own);
+        peers::announce(node, registration, &own);
     }
     if let Some(upstream) = earlier.upstream {
         local::spawn(health::find(node.clone(), registration.clone(), upstream));
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -84,7 +84,7 @@
             // What was confirmed before says nothing of what the store holds now.
             node.watch.borrow_mut().clear_confirmation();
             tell(node, registration, from);
-            registration::offer_soon(registration);
+            registration::schedule_offer(registration);
         }
     }
 }
@@ -96,7 +96,7 @@
     match from {
         None => {
             links::tell_hall(node, &frame);
-            registration::tell_other_halls(node, registration, &frame);
+            registration::send_to_other_halls(node, registration, &frame);
         }
         Some(vm) if node.hall_of(vm).is_some_and(|hall| hall != node.cfg.hall) => {
             links::tell_hall(node, &frame);
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -37,7 +37,7 @@
     let is_news = registration.local.borrow_mut().on_drain(incarnation);
     if is_news {
         audit::leaving_noticed(incarnation, &node.cfg.vm);
-        registration::local_changed(node, registration, PriorStarts::None);
+        registration::on_local_change(node, registration, PriorStarts::None);
     }
 }
 
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -111,7 +111,7 @@
     match from {
         None => {
             links::tell_hall(node, &frame);
-            registration::tell_other_halls(node, registration, &frame);
+            registration::send_to_other_halls(node, registration, &frame);
         }
         Some(vm) if node.hall_of(vm).is_some_and(|hall| hall != node.cfg.hall) => {
             links::tell_hall(node, &frame);
--- a/components/daemon/src/watching/freshness.rs
+++ b/components/daemon/src/watching/freshness.rs
@@ -25,7 +25,7 @@
 pub fn tell_other_halls(node: &Rc<Node>) {
     if let Some(registration) = &node.registration {
         let frame = Frame::Summary(node.summary());
-        registration::tell_other_halls(node, registration, &frame);
+        registration::send_to_other_halls(node, registration, &frame);
     }
 }
 
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -138,7 +138,7 @@
     };
     let (kind, _) = registration.adapter.declarations();
     let rollout = node.rollout.borrow();
-    registration.taking_in.get() > 0
+    registration.updates_in_progress.get() > 0
         || registration.adapter.store().receives(kind)
         || rollout.newest_revision() > rollout.revision()
 }
@@ -147,7 +147,8 @@
 /// once more: a set of 0.5 MB went over a slow link twice.
 fn is_coming(node: &Node) -> bool {
     let registration = node.registration.as_ref();
-    let is_taken_in = registration.is_some_and(|registration| registration.taking_in.get() > 0);
+    let is_taken_in =
+        registration.is_some_and(|registration| registration.updates_in_progress.get() > 0);
     let rollout = node.rollout.borrow();
     is_taken_in || receiving(node) > 0 || rollout.newest_revision() > rollout.revision()
 }
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -101,7 +101,7 @@
     objects: &[Stored],
     era: Option<Era>,
 ) {
-    let _taking_in = CountGuard::new(&registration.taking_in);
+    let _taking_in = CountGuard::new(&registration.updates_in_progress);
     let (_, name) = registration.adapter.declarations();
     for object in objects.iter().filter(|object| object.name.as_str() == name) {
         let began = node.now();
