--- a/components/rollout/src/apply.rs
+++ b/components/rollout/src/apply.rs
@@ -1,73 +1,74 @@
-//! An operator's side: one change, from the plan to a definite outcome.
+//! Applies one change of an operator to the platform's store, from the plan to a definite outcome.
 //!
-//! Content objects are written first, then the head as an immutable object of its own, then one
-//! conditional update of the head object. After a lost answer the chain of heads is read back: it
-//! holds the change's id exactly when the change took effect.
+//! Content objects are written first, then the head as an immutable object of its own. One conditional
+//! update of the head object follows. After a lost answer the chain of heads is read back: it contains
+//! the change's id exactly when the change took effect.
 
 use crate::head::{digest, split, Change, Digest, Head};
 use declarations::Bundle;
 
-/// Heads that are read back at most when a change is looked for.
-const MOST_CHAIN: usize = 64;
+/// Maximum number of earlier heads that are read in search of a change.
+const MAX_CHAIN: usize = 64;
 
-/// What an operator reviewed.
+/// A change that an operator has reviewed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// Revision the plan was made on; 0 when there was none.
+    /// Revision that the plan is based on; 0 if there was none.
     pub base: u64,
     /// The new declarations.
     pub bundle: Bundle,
     /// The audit record.
     pub change: Change,
-    /// The new revision is above this number; for a store that lost revisions nodes have in force.
+    /// The new revision is above this number. Needed after the store lost revisions that nodes have in
+    /// force.
     pub floor: u64,
 }
 
-/// What the platform answered to the last action.
+/// The platform's answer to the last action.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyEvent {
-    /// Start.
+    /// Starts the change; no action was carried out yet.
     Begin,
-    /// An object that was read, with its version.
+    /// An object was read, with its version; `None` if it does not exist.
     Read(Option<(u64, Vec<u8>)>),
     /// An object was written.
     Written,
     /// The condition of a write did not hold.
     Conflict,
-    /// No answer: the call may have taken effect.
+    /// No answer arrived. The call may have taken effect.
     NoAnswer,
 }
 
-/// What has to be done next.
+/// The next call to the platform, or the outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyAction {
     /// Read the head object.
     ReadHead,
     /// Read an immutable object.
     ReadContent(Digest),
-    /// Write an immutable object; one that exists already counts as written.
+    /// Write an immutable object. One that already exists counts as written.
     WriteContent(Digest, Vec<u8>),
-    /// Write the head object if it still has this version; `None`: if it does not exist.
+    /// Write the head object if it still has this version; `None` if it must not exist yet.
     WriteHead(Option<u64>, Vec<u8>),
-    /// The outcome.
     Done(ApplyOutcome),
 }
 
 /// How a change ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in the platform's store as this revision.
+    /// The platform's store holds it as this revision.
     Accepted(Box<Head>),
-    /// Another change came first; nothing was written over.
+    /// Another change was applied first; it was not overwritten.
     Conflict {
-        /// Revision now in force.
+        /// Revision in the store now.
         revision: u64,
         /// The other change.
         theirs: Option<Change>,
     },
-    /// The platform gave no answer for too long: ask again with the change's id.
+    /// The platform did not answer. Applying the plan again with the same id tells whether the change
+    /// took effect.
     Unknown,
-    /// The store holds something that is not a head, or a head with an object missing.
+    /// The store holds an invalid head, or a head of the chain is missing.
     Damaged(String),
 }
 
@@ -91,7 +92,7 @@
     Done,
 }
 
-/// One change on its way.
+/// One change that is being applied.
 #[derive(Debug, Clone)]
 pub struct Apply {
     plan: Plan,
@@ -100,7 +101,8 @@
 }
 
 impl Apply {
-    /// A change that gives up with [`ApplyOutcome::Unknown`] after `tries` calls without an answer.
+    /// A change that tolerates `tries` calls without an answer; one more ends it with
+    /// [`ApplyOutcome::Unknown`].
     pub fn new(plan: Plan, tries: u32) -> Apply {
         Apply {
             plan,
@@ -109,17 +111,17 @@
         }
     }
 
-    /// Takes in an event and returns the next action.
+    /// Handles an event and returns the next action.
     pub fn step(&mut self, event: ApplyEvent) -> ApplyAction {
         match (self.state.clone(), event) {
             (_, ApplyEvent::Begin) => self.read_head(),
-            (_, ApplyEvent::NoAnswer) => self.no_answer(),
-            (State::ReadingHead, ApplyEvent::Read(None)) => self.first(),
+            (_, ApplyEvent::NoAnswer) => self.on_no_answer(),
+            (State::ReadingHead, ApplyEvent::Read(None)) => self.on_no_head(),
             (State::ReadingHead, ApplyEvent::Read(Some((version, bytes)))) => {
-                self.head_read(version, &bytes)
+                self.on_head_read(version, &bytes)
             }
             (State::Chain { seen, top, version }, ApplyEvent::Read(object)) => {
-                self.chain_read(seen, top, version, object)
+                self.on_chain_read(seen, top, version, object)
             }
             (
                 State::Writing {
@@ -130,12 +132,12 @@
                 ApplyEvent::Written | ApplyEvent::Conflict,
             ) => self.write_next(left, version, head),
             (State::WritingHead { head }, ApplyEvent::Written) => {
-                self.done(ApplyOutcome::Accepted(head))
+                self.finish(ApplyOutcome::Accepted(head))
             }
             (State::WritingHead { .. }, ApplyEvent::Conflict) => self.read_head(),
             (state, event) => {
-                let text = format!("{event:?} does not answer {state:?}");
-                self.done(ApplyOutcome::Damaged(text))
+                let text = format!("unexpected event {event:?} in state {state:?}");
+                self.finish(ApplyOutcome::Damaged(text))
             }
         }
     }
@@ -145,18 +147,18 @@
         ApplyAction::ReadHead
     }
 
-    /// Reads back after a call without an answer, as long as tries are left.
-    fn no_answer(&mut self) -> ApplyAction {
+    /// Starts again with the head, as long as tries are left: the call may have taken effect.
+    fn on_no_answer(&mut self) -> ApplyAction {
         if self.tries_left == 0 {
-            return self.done(ApplyOutcome::Unknown);
+            return self.finish(ApplyOutcome::Unknown);
         }
         self.tries_left -= 1;
         self.read_head()
     }
 
-    fn first(&mut self) -> ApplyAction {
+    fn on_no_head(&mut self) -> ApplyAction {
         if self.plan.base != 0 {
-            return self.done(ApplyOutcome::Conflict {
+            return self.finish(ApplyOutcome::Conflict {
                 revision: 0,
                 theirs: None,
             });
@@ -164,26 +166,26 @@
         self.build(None, None)
     }
 
-    fn head_read(&mut self, version: u64, bytes: &[u8]) -> ApplyAction {
+    fn on_head_read(&mut self, version: u64, bytes: &[u8]) -> ApplyAction {
         let head = match Head::from_bytes(bytes) {
             Ok(head) => head,
-            Err(error) => return self.done(ApplyOutcome::Damaged(error)),
+            Err(error) => return self.finish(ApplyOutcome::Damaged(error)),
         };
         if head.change.id == self.plan.change.id {
-            return self.done(ApplyOutcome::Accepted(Box::new(head)));
+            return self.finish(ApplyOutcome::Accepted(Box::new(head)));
         }
         if head.revision == self.plan.base {
             return self.build(Some(version), Some(head));
         }
-        self.look_back(0, head.clone(), head, version)
+        self.search_chain(0, head.clone(), head, version)
     }
 
-    /// Looks for this change below a head that somebody else wrote.
-    fn look_back(&mut self, seen: usize, below: Head, top: Head, version: u64) -> ApplyAction {
-        let Some(previous) = below.previous else {
+    /// Searches for this change before `head`, which is of another change.
+    fn search_chain(&mut self, seen: usize, head: Head, top: Head, version: u64) -> ApplyAction {
+        let Some(previous) = head.previous else {
             return self.conflict(top);
         };
-        if below.revision <= self.plan.base || seen >= MOST_CHAIN {
+        if head.revision <= self.plan.base || seen >= MAX_CHAIN {
             return self.conflict(top);
         }
         self.state = State::Chain {
@@ -194,7 +196,7 @@
         ApplyAction::ReadContent(previous)
     }
 
-    fn chain_read(
+    fn on_chain_read(
         &mut self,
         seen: usize,
         top: Head,
@@ -203,24 +205,24 @@
     ) -> ApplyAction {
         let Some((_, bytes)) = object else {
             let text = "a head of the chain is missing".to_string();
-            return self.done(ApplyOutcome::Damaged(text));
+            return self.finish(ApplyOutcome::Damaged(text));
         };
         match Head::from_bytes(&bytes) {
             Ok(head) if head.change.id == self.plan.change.id => {
-                self.done(ApplyOutcome::Accepted(Box::new(head)))
+                self.finish(ApplyOutcome::Accepted(Box::new(head)))
             }
-            Ok(head) => self.look_back(seen, head, top, version),
-            Err(error) => self.done(ApplyOutcome::Damaged(error)),
+            Ok(head) => self.search_chain(seen, head, top, version),
+            Err(error) => self.finish(ApplyOutcome::Damaged(error)),
         }
     }
 
-    /// Builds the new head on the one that was read, and starts to write.
-    fn build(&mut self, version: Option<u64>, before: Option<Head>) -> ApplyAction {
+    /// Builds the new head on the one that was read, and starts writing its objects.
+    fn build(&mut self, version: Option<u64>, previous: Option<Head>) -> ApplyAction {
         let (files, objects) = split(&self.plan.bundle);
-        let base = before.as_ref().map_or(0, |head| head.revision);
+        let base = previous.as_ref().map_or(0, |head| head.revision);
         let head = Head {
             revision: base.max(self.plan.floor) + 1,
-            previous: before.as_ref().map(Head::digest),
+            previous: previous.as_ref().map(Head::digest),
             change: self.plan.change.clone(),
             files,
         };
@@ -254,13 +256,13 @@
     }
 
     fn conflict(&mut self, top: Head) -> ApplyAction {
-        self.done(ApplyOutcome::Conflict {
+        self.finish(ApplyOutcome::Conflict {
             revision: top.revision,
             theirs: Some(top.change),
         })
     }
 
-    fn done(&mut self, outcome: ApplyOutcome) -> ApplyAction {
+    fn finish(&mut self, outcome: ApplyOutcome) -> ApplyAction {
         self.state = State::Done;
         ApplyAction::Done(outcome)
     }
--- a/components/rollout/src/diff.rs
+++ b/components/rollout/src/diff.rs
@@ -1,10 +1,11 @@
-//! The difference between two sets of declarations, as lines for people.
+//! The difference between two sets of declarations, as lines of text for operators.
 
 use declarations::Bundle;
 use similar::{ChangeTag, TextDiff};
 use std::collections::BTreeSet;
 
-/// Lines that begin with `+`, `-` or a file's name; empty when the sets are equal.
+/// The path of each changed file and its added and removed lines, marked with `+` and `-`. Empty if
+/// the sets are equal.
 pub fn diff(before: &Bundle, after: &Bundle) -> Vec<String> {
     let paths: BTreeSet<&String> = before.files.keys().chain(after.files.keys()).collect();
     let mut lines = Vec::new();
@@ -20,8 +21,8 @@
     lines
 }
 
-/// Line difference by Myers' algorithm, whose cost grows with what changed: a table of all pairs of lines
-/// would take 2.5 GB and 18 s for 25,000 lines of which one changed, this 8 MB and 0.03 s.
+/// Line difference by Myers' algorithm, whose cost grows with the number of changes. For one changed
+/// line of 25,000 it takes 8 MB and 0.03 s; a table of all pairs of lines would take 2.5 GB and 18 s.
 fn diff_file(old: &str, new: &str, out: &mut Vec<String>) {
     for change in TextDiff::from_lines(old, new).iter_all_changes() {
         let line = change.value().trim_end_matches(['\r', '\n']);
--- a/components/rollout/src/fetch.rs
+++ b/components/rollout/src/fetch.rs
@@ -1,163 +1,159 @@
-//! Which other node is asked for what this one lacks: one at a time.
+//! Decides from whom a node fetches a newer revision: the store or one peer at a time.
 
 use names::{Moment, Name, MILLISECOND};
 
-/// A node that asks the store itself leaves it so long to answer, in microseconds, where the revision is small: a sixth of the shortest time
-/// within which users' changes have to be in force (2 s). Its watch brings a small revision within milliseconds
-/// of the first word of it, or its connection has fallen silent.
+/// Time that a node waits for the store's own answer before it asks a peer for a small revision, in
+/// microseconds. A sixth of the shortest time within which a change has to be in force (2 s). A watch at
+/// the store delivers a small revision within milliseconds of the first report of it, unless its
+/// connection is unresponsive.
 pub const SMALL_STORE_WAIT_US: u64 = 333 * MILLISECOND;
-/// The same for a large revision: on a link of 10 Mbit/s the store's answer of 0.74 MB takes 0.6 s, and a second
-/// copy beside it would double that.
+/// The same for a large revision. On a link of 10 Mbit/s the store's answer of 0.74 MB takes 0.6 s, and
+/// a second copy at the same time would double that.
 pub const STORE_WAIT_US: u64 = 1_000 * MILLISECOND;
-/// A small copy that was asked for is waited for so long, in microseconds, before another node is asked: a sixth
-/// of the same time. 32 KB take 26 ms on a link of 10 Mbit/s.
+/// Timeout of a small copy, in microseconds, after which another node is asked. A sixth of the same 2 s;
+/// 32 KB take 26 ms on a link of 10 Mbit/s.
 pub const SMALL_FETCH_TIMEOUT_US: u64 = 333 * MILLISECOND;
-/// After so many small copies that did not come the store is asked: two thirds of the time are left then.
-const SMALL_COPIES: u32 = 2;
-/// The same for a large copy: 2.5 MB on a link of 10 Mbit/s. It doubles with each copy that does not come, so
-/// that the larger ones come as well.
+/// After this many small copies that timed out the store is read: two thirds of the 2 s are left then.
+const MAX_SMALL_COPIES: u32 = 2;
+/// Timeout of a large copy or of a read of the store, in microseconds: 2.5 MB on a link of 10 Mbit/s. It
+/// doubles with each fetch that timed out, so that larger revisions arrive as well.
 pub const FETCH_TIMEOUT_US: u64 = 2_000 * MILLISECOND;
-/// A revision larger than this is read from the store rather than copied from another node, in bytes. Two
-/// watchers give 30 copies of this size each to a hall of 60 nodes within 0.4 s over links of 20 Mbit/s; each
-/// copy of 0.6 MB would take 0.24 s of one watcher's link, and there would be 30 of them.
+/// A revision larger than this, in bytes, is read from the store instead of copied from another node.
+/// Two watchers send 30 copies of this size each to a hall of 60 nodes within 0.4 s over links of
+/// 20 Mbit/s. A copy of 0.6 MB would take 0.24 s of a watcher's link, and there would be 30 of them.
 pub const LARGE_BYTES: u64 = 32 * 1024;
-/// Doublings of the patience at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of the timeout.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// How this node stands while another one knows something newer.
+/// State of this node when a peer reports something newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalState {
     /// Revision in force here; 0 for none.
     pub revision: u64,
-    /// Whether it waits for the store's own answer.
+    /// Whether a call to the store is waiting for its answer.
     pub awaits_store: bool,
-    /// Whether one call to the store brings a whole revision.
+    /// Whether one call to the store returns a complete revision.
     pub can_read_store: bool,
 }
 
 impl LocalState {
-    /// Whether the store is given time. A node without a revision serves nobody and asks at once: when half
-    /// of 13 nodes restart while the store is silent, waiting would cost 0.05 of the worth of all requests
-    /// (mean of three seeds).
+    /// Whether this node waits for the store before it asks a peer. A node without a revision can't serve
+    /// requests and asks at once: when half of 13 nodes restart while the store is unresponsive, waiting
+    /// would cost 0.05 of the value of all requests.
     fn waits_for_store(self) -> bool {
         self.awaits_store && self.revision > 0
     }
 }
 
-/// What to do when another node was found to know something newer.
+/// What to do after a peer reported something newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Advice {
-    /// Ask it for what is newer.
+    /// Ask this peer for it.
     Ask,
-    /// Read what is newer from the store: it is large.
+    /// Read it from the store: it is large, or peers did not send it in time.
     Read,
-    /// Look again after this moment: the store may have answered by then.
+    /// Check again at this time. The store may have answered by then.
     Hold(Moment),
-    /// It is on its way already.
+    /// Do nothing: it is being fetched, or the store still has time to answer.
     Wait,
 }
 
 #[derive(Debug)]
-struct Asked {
-    /// The node; none for the store.
+struct PendingFetch {
+    /// The peer that was asked; none for the store.
     peer: Option<Name>,
-    until: Moment,
+    times_out_at: Moment,
 }
 
-/// Copies that were asked for. A node that was asked may be paused, and the connection to it may take no answer
-/// back, so that none is waited for longer than a change can wait. Only what is asked for is sent, and only one node is asked at a time: in a
-/// hall of 20 nodes each sent its own copy to a node that joined, 8 MB in all, which kept its link busy for
-/// up to 20 s.
+/// Fetches of newer content. Peers send content only on request, and one peer is asked at a time: when
+/// each of the 20 nodes of a hall sent its copy to a joining node, the 8 MB kept that node's link busy for
+/// up to 20 s. A fetch has a timeout within the time that a change may take, since the peer may be paused
+/// or its answers may be lost.
 #[derive(Debug, Default)]
 pub struct Fetch {
-    asked: Option<Asked>,
-    hold: Option<Moment>,
+    pending: Option<PendingFetch>,
+    /// Until when this node waits for the store; none if it has not waited for this update.
+    store_wait_until: Option<Moment>,
     failures: u32,
-    /// Whether the store gave no answer to a read of what is newer.
+    /// Whether a read of the store has failed.
     store_failed: bool,
 }
 
 impl Fetch {
-    /// `peer` knows something newer, of `bytes`, than this node, which stands like this.
-    pub fn on_newer(
-        &mut self,
-        now: Moment,
-        peer: &Name,
-        standing: LocalState,
-        bytes: u64,
-    ) -> Advice {
-        if let Some(asked) = &self.asked {
-            if now < asked.until {
+    /// `peer` reported something newer than `local`, of which this node lacks `bytes`.
+    pub fn on_newer(&mut self, now: Moment, peer: &Name, local: LocalState, bytes: u64) -> Advice {
+        if let Some(pending) = &self.pending {
+            if now < pending.times_out_at {
                 return Advice::Wait;
             }
             self.failures += 1;
-            self.asked = None;
+            self.pending = None;
         }
-        if standing.waits_for_store() {
-            match self.hold {
+        if local.waits_for_store() {
+            match self.store_wait_until {
                 None => {
-                    let hold_us = if bytes > LARGE_BYTES {
+                    let wait_us = if bytes > LARGE_BYTES {
                         STORE_WAIT_US
                     } else {
                         SMALL_STORE_WAIT_US
                     };
-                    let hold = now + hold_us;
-                    self.hold = Some(hold);
-                    return Advice::Hold(hold);
+                    let until = now + wait_us;
+                    self.store_wait_until = Some(until);
+                    return Advice::Hold(until);
                 }
-                Some(hold) if now < hold => return Advice::Wait,
+                Some(until) if now < until => return Advice::Wait,
                 Some(_) => {}
             }
         }
         let is_large = bytes > LARGE_BYTES;
-        let needs_store = is_large || self.failures >= SMALL_COPIES;
-        let reads = standing.can_read_store && needs_store && !self.store_failed;
-        let patience_us = if is_large || reads {
-            FETCH_TIMEOUT_US << self.failures.min(MOST_DOUBLINGS)
+        let needs_store = is_large || self.failures >= MAX_SMALL_COPIES;
+        let reads_store = local.can_read_store && needs_store && !self.store_failed;
+        let timeout_us = if is_large || reads_store {
+            FETCH_TIMEOUT_US << self.failures.min(MAX_DOUBLINGS)
         } else {
             SMALL_FETCH_TIMEOUT_US
         };
-        self.asked = Some(Asked {
-            peer: (!reads).then(|| peer.clone()),
-            until: now + patience_us,
+        self.pending = Some(PendingFetch {
+            peer: (!reads_store).then(|| peer.clone()),
+            times_out_at: now + timeout_us,
         });
-        if reads {
+        if reads_store {
             Advice::Read
         } else {
             Advice::Ask
         }
     }
 
-    /// The store gave no answer: other nodes are asked for what is newer.
+    /// A read of the store failed: peers are asked from now on.
     pub fn store_failed(&mut self) {
         self.store_failed = true;
         if self
-            .asked
+            .pending
             .as_ref()
-            .is_some_and(|asked| asked.peer.is_none())
+            .is_some_and(|pending| pending.peer.is_none())
         {
-            self.asked = None;
+            self.pending = None;
         }
     }
 
-    /// Copies that were asked for in vain since something newer was in force.
+    /// Fetches that timed out since newer content was last applied.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Something newer is in force: what was asked for is here, or is not needed any more.
+    /// Newer content was applied: the pending fetch is complete or no longer needed.
     pub fn on_applied(&mut self) {
         *self = Fetch::default();
     }
 
-    /// A connection to `peer` ended, and with it the copy that was asked for there.
+    /// The connection to `peer` was lost, and with it a pending copy from there.
     pub fn on_connection_lost(&mut self, peer: &Name) {
         if self
-            .asked
+            .pending
             .as_ref()
-            .is_some_and(|asked| asked.peer.as_ref() == Some(peer))
+            .is_some_and(|pending| pending.peer.as_ref() == Some(peer))
         {
-            self.asked = None;
+            self.pending = None;
         }
     }
 }
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -1,9 +1,10 @@
-//! Rollout: bringing an accepted set of declarations into force on every node, and never going
-//! back to an earlier one.
+//! Distributes accepted declarations to all nodes and puts them in force there. A node never goes
+//! back to an earlier revision.
 //!
-//! [`Head`] is the small object that names the revision in force; its chain is the audit trail.
-//! [`Rollout`] is a node's side, [`Fetch`] says whom it asks for what it lacks, [`Apply`] is an operator's.
-//! All are pure state machines.
+//! [`Head`] is the small object that names the revision in force; the chain of heads is the audit
+//! trail. [`Rollout`] tracks and checks the revisions of one node, [`Fetch`] decides from whom a node
+//! fetches a newer revision, and [`Apply`] carries out an operator's change. All three are state
+//! machines without I/O.
 
 mod apply;
 mod diff;
--- a/components/rollout/src/made.rs
+++ b/components/rollout/src/made.rs
@@ -1,20 +1,22 @@
-//! Revisions on their way to the check.
+//! Revisions that were not checked yet.
 
 use crate::head::{split_sections, Change, Head};
 use crate::node::Configuration;
 use declarations::Bundle;
 use era::Position;
 
-/// A revision that was not checked yet.
+/// A revision to be checked.
 #[derive(Debug)]
 pub struct UncheckedRevision {
     pub(crate) configuration: Configuration,
-    /// The files, where this node made the content objects of them: those need not be digested again and put together.
+    /// The files, if this node split them into the content objects itself. The objects need not be
+    /// digested again and joined then.
     pub(crate) bundle: Option<Bundle>,
 }
 
 impl UncheckedRevision {
-    /// The revision that this node makes of files which it read at `read`. Every node makes the same of the same.
+    /// Creates a revision from files that this node read at `read_at`. The result depends only on the
+    /// arguments, so that all nodes create the same.
     pub fn from_bundle(
         revision: u64,
         change: Change,
@@ -39,7 +41,6 @@
         }
     }
 
-    /// The revision with its content.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
--- a/components/rollout/src/node.rs
+++ b/components/rollout/src/node.rs
@@ -1,4 +1,4 @@
-//! A node's side: taking in revisions.
+//! The revisions of one node: which one is in force and which offered ones are accepted.
 
 use crate::head::{join, Digest, Head};
 use crate::made::UncheckedRevision;
@@ -12,40 +12,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What a node tells its peers of its knowledge.
+/// What a node reports to its peers about the state that it holds.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Summary {
     /// Revision in force; 0 for none.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// Bytes of its content.
+    /// Size of its content, in bytes.
     #[serde(rename = "b")]
     pub bytes: u64,
-    /// Bytes of it that a node lacks which holds the revision before it.
+    /// Bytes of that content that a node with the previous revision lacks.
     #[serde(rename = "d", default)]
     pub change_bytes: u64,
-    /// Version of the platform's list; 0 for none.
+    /// Version of the platform's list of VMs; 0 for none.
     #[serde(rename = "l")]
     pub list_version: u64,
-    /// Time since the platform was last known to hold nothing newer, in microseconds; none if it never was.
+    /// Time since the platform was last confirmed to hold nothing newer, in microseconds; none if it
+    /// never was.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub confirmed_us_ago: Option<u64>,
-    /// Highest era of the platform's store that is known, to which that time belongs; none where it tells none.
+    /// Highest known era of the platform's store, to which that time belongs; none if the store
+    /// reports no eras.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub era: Option<Era>,
-    /// Tells contents of one revision apart; 0 for none.
+    /// Distinguishes different contents of the same revision; 0 for none.
     #[serde(rename = "c", default)]
     pub content_id: u64,
-    /// Where the content was last read in the store.
+    /// Position in the store at which the content was last read.
     #[serde(rename = "w", default, skip_serializing_if = "Position::is_none")]
     pub read_at: Position,
-    /// Halls that are evacuated; none when nothing is known of that.
+    /// Halls that are evacuated; none if that is not known.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub evacuated: Option<Evacuated>,
 }
 
 impl Summary {
-    /// Whether the same is known here as there.
+    /// Whether both nodes hold the same content, list of VMs and evacuated halls.
     pub fn is_in_sync_with(&self, other: &Summary) -> bool {
         let same_list = self.list_version == other.list_version;
         self.has_same_content_as(other) && same_list && self.halls() == other.halls()
@@ -56,12 +58,12 @@
         evacuated.map(|evacuated| &evacuated.halls)
     }
 
-    /// Whether something here is newer than `other` knows.
+    /// Whether this node has newer content or a newer list of VMs than `other`.
     pub fn is_newer_than(&self, other: &Summary) -> bool {
         self.has_newer_content_than(other) || self.list_version > other.list_version
     }
 
-    /// Bytes that `other` has to be sent for what is in force here.
+    /// Bytes to send to `other` for the revision in force here.
     pub fn bytes_for(&self, other: &Summary) -> u64 {
         if other.revision == 0 {
             self.bytes
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Whether the content here is newer than that of `other`: its revision is higher, or it is another content of the
-    /// same one and was read later.
+    /// Whether the content here is newer than that of `other`: its revision is higher, or the same
+    /// revision has different content here that was read at a later position.
     pub fn has_newer_content_than(&self, other: &Summary) -> bool {
         if self.revision != other.revision {
             return self.revision > other.revision;
@@ -84,20 +86,19 @@
     }
 }
 
-/// A revision with all its content, as nodes pass it on.
+/// A revision with its content, as nodes exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The head.
     pub head: Head,
-    /// The content objects that it names.
+    /// Content objects that the head names.
     pub objects: BTreeMap<Digest, ByteBuf>,
-    /// Where it was read in the platform's store.
+    /// Position in the platform's store at which it was read.
     #[serde(rename = "read", default, skip_serializing_if = "Position::is_none")]
     pub read_at: Position,
 }
 
 impl Configuration {
-    /// Takes over what it names and lacks from another one.
+    /// Copies the content objects that its head names and it lacks from `other`.
     pub fn complete_from(&mut self, other: &Configuration) {
         for part in self.head.files.iter().flat_map(|file| &file.parts) {
             if self.objects.contains_key(part) {
@@ -109,25 +110,26 @@
         }
     }
 
-    /// The files of the revision.
+    /// Joins the content objects into the files of the revision.
     pub fn bundle(&self) -> Result<Bundle, String> {
         join(&self.head, &self.objects)
     }
 
-    /// Bytes of its content that another one lacks.
-    fn size_beside(&self, other: Option<&Configuration>) -> u64 {
-        let is_new = |digest: &Digest| other.is_none_or(|it| !it.objects.contains_key(digest));
+    /// Bytes of its content that `other` lacks.
+    fn new_bytes(&self, other: Option<&Configuration>) -> u64 {
+        let is_new =
+            |digest: &Digest| other.is_none_or(|other| !other.objects.contains_key(digest));
         let new = self.objects.iter().filter(|(digest, _)| is_new(digest));
         new.map(|(_, bytes)| bytes.len() as u64).sum()
     }
 
-    /// Bytes of its content.
+    /// Size of its content, in bytes.
     pub fn size(&self) -> usize {
         self.objects.values().map(|object| object.len()).sum()
     }
 }
 
-/// The revision by which requests are served; one request sees one value of this.
+/// The revision by which requests are served. A request uses one value of this throughout.
 #[derive(Debug)]
 pub struct InForce {
     /// The revision with its content.
@@ -136,72 +138,73 @@
     pub declarations: Declarations,
 }
 
-/// What became of an offered revision.
+/// Result of offering a revision to a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Offered {
-    /// Taken: it is in force now.
+    /// Accepted: it is in force now.
     Taken,
-    /// In force already.
+    /// Already in force.
     Same,
-    /// Lower than the one in force: not taken.
+    /// Rejected: lower than the revision in force.
     Older,
-    /// The same number with other content: not taken; the store went back or was forged.
+    /// Rejected: the revision in force has the same number and different content. The store returned
+    /// to an older copy or was forged.
     Differs,
-    /// Being checked already.
+    /// Already being checked.
     UnderWay,
-    /// It does not pass the check: not taken.
+    /// Rejected: it failed the check.
     Bad(String),
 }
 
-/// Events counted for the operators.
+/// Counters for the operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RolloutCounters {
-    /// Revisions taken.
+    /// Revisions that were put in force.
     pub applied: u64,
     /// Offers of a lower revision.
     pub older: u64,
-    /// Offers of the same number with other content.
+    /// Offers of the revision in force with different content.
     pub differs: u64,
-    /// Offers that did not pass the check.
+    /// Offers that failed the check.
     pub invalid: u64,
 }
 
-/// The revision a node has in force.
+/// The revision in force on a node, and the ones being checked.
 #[derive(Debug, Default)]
 pub struct Rollout {
     in_force: Option<Arc<InForce>>,
-    /// Tells the content in force from others of its revision; 0 for none.
+    /// Distinguishes the content in force from others of the same revision; 0 for none.
     content_id: u64,
-    /// Bytes of the content in force that the revision before it lacked.
+    /// Bytes of the content in force that the previous revision lacked.
     change_bytes: u64,
     recent: Recent,
-    /// Where the content in force was last read.
+    /// Position in the store at which the content in force was last read.
     read_at: Position,
-    /// Revision that is being checked, and where it was read; the newest if there are several.
+    /// Newest revision that is being checked, and the position at which it was read.
     checking: Option<(u64, Position)>,
     counters: RolloutCounters,
 }
 
-/// A revision that is being checked, in steps.
+/// The check of one revision, carried out in steps.
 #[derive(Debug)]
 pub struct RevisionCheck {
     configuration: Configuration,
     steps: IncrementalCheck,
-    digested: usize,
+    digested_bytes: usize,
 }
 
 impl RevisionCheck {
-    /// Bytes of content whose digests were compared with their names.
+    /// Bytes of content whose digests were computed and compared with the head.
     pub fn digested_bytes(&self) -> usize {
-        self.digested
+        self.digested_bytes
     }
 
-    /// What the check has read so far.
+    /// Work that the check has done so far.
     pub fn work(&self) -> declarations::BytesRead {
         self.steps.bytes_read()
     }
 
-    /// Goes on; the outcome once it is known. An error says what is wrong with the revision.
+    /// Runs one step and returns the outcome once it is known.
     pub fn step(&mut self) -> Option<Result<Declarations, String>> {
         let checked = self.steps.step()?;
         Some(checked.map_err(|problems| problems.to_string()))
@@ -216,46 +219,46 @@
             .map_or(0, |in_force| in_force.configuration.head.revision)
     }
 
-    /// Bytes of the content in force; 0 for none.
+    /// Size of the content in force, in bytes; 0 for none.
     pub fn bytes(&self) -> u64 {
         self.in_force
             .as_ref()
             .map_or(0, |in_force| in_force.configuration.size() as u64)
     }
 
-    /// Bytes of the content in force that a node lacks which holds the revision before it.
+    /// Bytes of the content in force that a node with the previous revision lacks.
     pub fn change_bytes(&self) -> u64 {
         self.change_bytes
     }
 
-    /// What is in force, without what a node has that holds `content`; the whole for any node of which that is not
-    /// known.
+    /// The revision in force without the content objects that a node with `content_id` already has.
+    /// The full revision if `content_id` is not one of the recent ones.
     pub fn delta_for(&self, content_id: u64) -> Option<Configuration> {
         let configuration = &self.in_force.as_ref()?.configuration;
-        let lacking = self.recent.delta_for(content_id, configuration);
-        Some(lacking.unwrap_or_else(|| configuration.clone()))
+        let delta = self.recent.delta_for(content_id, configuration);
+        Some(delta.unwrap_or_else(|| configuration.clone()))
     }
 
-    /// Highest revision in force or being checked: what this node need not be sent.
+    /// Highest revision in force or being checked. This node need not be sent it or any lower one.
     pub fn newest_revision(&self) -> u64 {
         let checking = self.checking.map_or(0, |(revision, _)| revision);
         self.revision().max(checking)
     }
 
-    /// Tells the content in force from others of its revision; 0 for none.
+    /// Distinguishes the content in force from others of the same revision; 0 for none.
     pub fn content_id(&self) -> u64 {
         self.content_id
     }
 
-    /// Where the content in force was last read.
+    /// Position in the store at which the content in force was last read.
     pub fn read_at(&self) -> Position {
         self.read_at
     }
 
-    /// The content in force was read at `at` as well, here or by another node.
-    pub fn advance_read_at(&mut self, at: Position) {
-        if at.supersedes(&self.read_at) {
-            self.read_at = at;
+    /// Records that this node or another one read the content in force at `position` as well.
+    pub fn advance_read_at(&mut self, position: Position) {
+        if position.supersedes(&self.read_at) {
+            self.read_at = position;
         }
     }
 
@@ -264,53 +267,54 @@
         self.in_force.clone()
     }
 
-    /// Counted events.
     pub fn counters(&self) -> RolloutCounters {
         self.counters
     }
 
-    /// Whether a head that was read at `read` is worth fetching content for. Counts heads that are not.
+    /// Checks from the head alone whether a revision that was read at `read_at` can be accepted, before
+    /// its content is fetched. Counts rejected heads.
     pub fn precheck(&mut self, head: &Head, read_at: Position) -> Result<(), Offered> {
         let Some(in_force) = &self.in_force else {
             return Ok(());
         };
-        let mine = &in_force.configuration.head;
-        if head.revision > mine.revision {
+        let current = &in_force.configuration.head;
+        if head.revision > current.revision {
             return Ok(());
         }
-        if head.revision < mine.revision {
+        if head.revision < current.revision {
             self.counters.older += 1;
             return Err(Offered::Older);
         }
-        if head == mine {
+        if head == current {
             self.advance_read_at(read_at);
             return Err(Offered::Same);
         }
         if read_at.supersedes(&self.read_at) {
-            // The store lost what is in force, and the operators gave its number to something else.
+            // The store lost the revision in force, and its number was used again for other content.
             return Ok(());
         }
         self.counters.differs += 1;
         Err(Offered::Differs)
     }
 
-    /// Takes in a revision, from the platform, a peer or an operator's tool alike.
+    /// Checks a revision to the end and puts it in force if it is accepted. The rules are the same for
+    /// revisions from the platform, a peer or an operator's tool.
     pub fn offer(&mut self, offered: impl Into<UncheckedRevision>) -> Offered {
-        let mut checking = match self.begin_check(offered) {
-            Ok(checking) => checking,
+        let mut check = match self.begin_check(offered) {
+            Ok(check) => check,
             Err(offered) => return offered,
         };
         loop {
-            if let Some(checked) = checking.step() {
-                return self.end_check(checking, checked);
+            if let Some(checked) = check.step() {
+                return self.end_check(check, checked);
             }
         }
     }
 
-    /// Begins to take a revision in. Its check is carried out by the caller, step by step, and ended with
+    /// Begins the check of a revision. The caller runs its steps and passes the result to
     /// [`Rollout::end_check`].
     ///
-    /// A configuration may leave out what is in force here already.
+    /// The configuration may leave out content objects of the revision in force.
     pub fn begin_check(
         &mut self,
         offered: impl Into<UncheckedRevision>,
@@ -324,53 +328,61 @@
         }
         self.precheck(&configuration.head, configuration.read_at)?;
         let revision = configuration.head.revision;
-        if self.is_under_way(revision, configuration.read_at) {
+        if self.is_being_checked(revision, configuration.read_at) {
             return Err(Offered::UnderWay);
         }
-        let digested = if bundle.is_some() {
+        let digested_bytes = if bundle.is_some() {
             0
         } else {
             configuration.size()
         };
         let bundle = match bundle {
             Some(bundle) => bundle,
-            None => configuration.bundle().map_err(|error| self.bad(error))?,
+            None => configuration.bundle().map_err(|error| self.reject(error))?,
         };
-        let before = self.in_force.as_ref().map(|before| &before.declarations);
-        let steps = IncrementalCheck::new(bundle, before);
+        let current = self
+            .in_force
+            .as_ref()
+            .map(|in_force| &in_force.declarations);
+        let steps = IncrementalCheck::new(bundle, current);
         self.checking = Some((revision, configuration.read_at));
         Ok(RevisionCheck {
             configuration,
             steps,
-            digested,
+            digested_bytes,
         })
     }
 
-    /// Ends the check of a revision. It is in force from now on, unless a higher one is, or it is bad.
+    /// Ends the check of a revision and puts it in force, unless the check failed or a higher revision
+    /// is in force by now.
     pub fn end_check(
         &mut self,
-        checking: RevisionCheck,
+        check: RevisionCheck,
         checked: Result<Declarations, String>,
     ) -> Offered {
-        let configuration = checking.configuration;
-        let after = configuration.head.revision;
-        if self.checking == Some((after, configuration.read_at)) {
+        let configuration = check.configuration;
+        let revision = configuration.head.revision;
+        if self.checking == Some((revision, configuration.read_at)) {
             self.checking = None;
         }
         let declarations = match checked {
             Ok(declarations) => declarations,
-            Err(error) => return self.bad(error),
+            Err(error) => return self.reject(error),
         };
         if let Err(offered) = self.precheck(&configuration.head, configuration.read_at) {
             return offered;
         }
-        let before = self.revision();
-        assert!(after >= before, "revision {after} follows {before}");
+        let previous = self.revision();
+        assert!(
+            revision >= previous,
+            "revision {revision} may not replace {previous}"
+        );
         self.content_id = configuration.head.short_digest();
         self.read_at = configuration.read_at;
-        let before = self.in_force.as_ref();
-        self.change_bytes = configuration.size_beside(before.map(|it| &it.configuration));
-        self.recent.put(self.content_id, &configuration);
+        let previous = self.in_force.as_ref();
+        self.change_bytes =
+            configuration.new_bytes(previous.map(|in_force| &in_force.configuration));
+        self.recent.add(self.content_id, &configuration);
         self.in_force = Some(Arc::new(InForce {
             configuration,
             declarations,
@@ -379,15 +391,16 @@
         Offered::Taken
     }
 
-    fn is_under_way(&self, revision: u64, read_at: Position) -> bool {
+    /// Whether this revision, a newer reading of it or a higher one is being checked.
+    fn is_being_checked(&self, revision: u64, read_at: Position) -> bool {
         match self.checking {
-            Some((checked, at)) if checked == revision => !read_at.supersedes(&at),
+            Some((checked, position)) if checked == revision => !read_at.supersedes(&position),
             Some((checked, _)) => revision < checked,
             None => false,
         }
     }
 
-    fn bad(&mut self, error: String) -> Offered {
+    fn reject(&mut self, error: String) -> Offered {
         self.counters.invalid += 1;
         Offered::Bad(error)
     }
--- a/components/rollout/src/recent.rs
+++ b/components/rollout/src/recent.rs
@@ -1,53 +1,53 @@
-//! The revisions that were in force lately, as far as it matters what a node lacks that still has one of them.
+//! Recent revisions, from which a node computes what a peer that has one of them lacks.
 
 use crate::head::Digest;
 use crate::node::Configuration;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Revisions that are remembered: changes in quick succession come faster than nodes take them in.
-const MOST: usize = 8;
+/// Revisions that are remembered. Several are needed because changes in quick succession arrive faster
+/// than nodes apply them.
+const MAX_REVISIONS: usize = 8;
 
-/// One revision.
 #[derive(Debug)]
-struct Known {
-    /// Tells its content from all others.
+struct RecentRevision {
     content_id: u64,
     objects: BTreeSet<Digest>,
 }
 
-/// What each of them consisted of.
+/// Digests of the content objects of recent revisions, oldest revision first.
 #[derive(Debug, Default)]
 pub(crate) struct Recent {
-    known: VecDeque<Known>,
+    revisions: VecDeque<RecentRevision>,
 }
 
 impl Recent {
-    /// A revision is in force from now on.
-    pub(crate) fn put(&mut self, content_id: u64, configuration: &Configuration) {
-        if self.known.len() == MOST {
-            self.known.pop_front();
+    /// Adds a revision that was put in force.
+    pub(crate) fn add(&mut self, content_id: u64, configuration: &Configuration) {
+        if self.revisions.len() == MAX_REVISIONS {
+            self.revisions.pop_front();
         }
         let objects = configuration.objects.keys().cloned().collect();
-        self.known.push_back(Known {
+        self.revisions.push_back(RecentRevision {
             content_id,
             objects,
         });
     }
 
-    /// What a node lacks of `configuration` that has the revision of this `content`; none if that is not remembered.
+    /// `configuration` without the content objects that a node with `content_id` already has; none if
+    /// that revision is not remembered.
     pub(crate) fn delta_for(
         &self,
         content_id: u64,
         configuration: &Configuration,
     ) -> Option<Configuration> {
-        let known = self
-            .known
+        let recent = self
+            .revisions
             .iter()
-            .find(|known| known.content_id == content_id)?;
+            .find(|recent| recent.content_id == content_id)?;
         let objects = configuration.objects.iter();
         let objects: BTreeMap<Digest, ByteBuf> = objects
-            .filter(|(digest, _)| !known.objects.contains(*digest))
+            .filter(|(digest, _)| !recent.objects.contains(*digest))
             .map(|(digest, bytes)| (digest.clone(), bytes.clone()))
             .collect();
         Some(Configuration {
