--- a/components/rollout/tests/rollout/differences.rs
+++ b/components/rollout/tests/rollout/differences.rs
@@ -1,4 +1,4 @@
-//! The difference shown to operators, and revisions a node must not take.
+//! The difference that is shown to operators, and revisions that a node must reject.
 
 use declarations::Bundle;
 use era::Position;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_difference_names_the_file_and_shows_only_changed_lines() {
+fn diff_names_the_file_and_shows_only_changed_lines() {
     let before = bundle("// one\n// two\n#{ priority: 1 }\n");
     let after = bundle("// one\n#{ priority: 2 }\n// three\n");
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_node_never_takes_an_earlier_revision_or_another_content_under_the_same_number() {
+fn node_rejects_older_revision_and_different_content_of_its_own() {
     let mut node = Rollout::default();
     assert_eq!(
         node.offer(configuration(5, "#{ priority: 1 }")),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_node_keeps_its_revision_when_the_next_one_does_not_pass_the_check() {
+fn node_keeps_its_revision_when_the_next_one_fails_the_check() {
     let mut node = Rollout::default();
     node.offer(configuration(1, "#{ priority: 1 }"));
     let offered = node.offer(configuration(2, "#{ priority: 99 }"));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_revision_whose_content_was_tampered_with_is_not_taken() {
+fn revision_with_forged_content_is_rejected() {
     let mut forged = configuration(1, "#{ priority: 1 }");
     for bytes in forged.objects.values_mut() {
         bytes.push(b'\n');
--- a/components/rollout/tests/rollout/fuzz.rs
+++ b/components/rollout/tests/rollout/fuzz.rs
@@ -1,21 +1,21 @@
-//! Stateful fuzzing of rollout against the oracle in `world`. `FUZZ_SEED` and `FUZZ_CASES` replace
+//! Stateful fuzzing of rollout against the simulation in `world`. `FUZZ_SEED` and `FUZZ_CASES` replace
 //! the fixed seed and the number of cases.
 
-use crate::world::{Fate, World};
+use crate::world::{CallResult, World};
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 
 const CASES: u32 = 200;
 
-/// One step of the world; numbers pick by remainder.
+/// One step of the simulation. Numbers select an operator, node or write modulo the count.
 #[derive(Debug, Clone)]
 enum Step {
     Plan(usize),
-    Call { operator: usize, fate: Fate },
+    Call { operator: usize, result: CallResult },
     LateWrite(usize),
     Read(usize),
-    ReadOld { node: usize, back: usize },
-    PassOn { from: usize, to: usize },
+    ReadOlder { node: usize, back: usize },
+    Forward { from: usize, to: usize },
     Restart(usize),
 }
 
@@ -30,19 +30,19 @@
     }
 
     fn transitions(_: &usize) -> BoxedStrategy<Step> {
-        let fate = prop_oneof![
-            12 => Just(Fate::Answered),
-            2 => Just(Fate::AnswerLost),
-            1 => Just(Fate::Lost),
-            2 => Just(Fate::Late),
+        let result = prop_oneof![
+            12 => Just(CallResult::Answered),
+            2 => Just(CallResult::AnswerLost),
+            1 => Just(CallResult::Lost),
+            2 => Just(CallResult::Late),
         ];
         prop_oneof![
             4 => (0..2usize).prop_map(Step::Plan),
-            20 => (0..2usize, fate).prop_map(|(operator, fate)| Step::Call { operator, fate }),
+            20 => (0..2usize, result).prop_map(|(operator, result)| Step::Call { operator, result }),
             2 => (0..4usize).prop_map(Step::LateWrite),
             3 => (0..4usize).prop_map(Step::Read),
-            2 => (0..4usize, 0..4usize).prop_map(|(node, back)| Step::ReadOld { node, back }),
-            3 => (0..4usize, 0..4usize).prop_map(|(from, to)| Step::PassOn { from, to }),
+            2 => (0..4usize, 0..4usize).prop_map(|(node, back)| Step::ReadOlder { node, back }),
+            3 => (0..4usize, 0..4usize).prop_map(|(from, to)| Step::Forward { from, to }),
             1 => (0..4usize).prop_map(Step::Restart),
         ]
         .boxed()
@@ -66,11 +66,11 @@
     fn apply(mut world: World, _: &usize, step: Step) -> World {
         match step {
             Step::Plan(operator) => world.plan(operator),
-            Step::Call { operator, fate } => world.step(operator, fate),
-            Step::LateWrite(pick) => world.late_write(pick),
-            Step::Read(node) => world.read(node),
-            Step::ReadOld { node, back } => world.read_old(node, back),
-            Step::PassOn { from, to } => world.pass_on(from, to),
+            Step::Call { operator, result } => world.call_store(operator, result),
+            Step::LateWrite(pick) => world.apply_late_write(pick),
+            Step::Read(node) => world.read_store(node),
+            Step::ReadOlder { node, back } => world.read_older(node, back),
+            Step::Forward { from, to } => world.forward(from, to),
             Step::Restart(node) => world.restart(node),
         }
         world
@@ -81,7 +81,7 @@
     }
 
     fn teardown(mut world: World, _: usize) {
-        world.settle();
+        world.converge();
         world.check();
     }
 }
@@ -90,5 +90,5 @@
     #![proptest_config(fuzzing::config(CASES))]
 
     #[test]
-    fn what_was_accepted_is_never_lost_and_no_node_goes_back(sequential 1..150 => Rollouts);
+    fn accepted_changes_are_never_lost_and_no_node_goes_back(sequential 1..150 => Rollouts);
 }
--- a/components/rollout/tests/rollout/lacking.rs
+++ b/components/rollout/tests/rollout/lacking.rs
@@ -1,6 +1,7 @@
-//! A node that has one of the revisions before is sent what it lacks of the newest. Each of 984 nodes read the whole set
-//! in the platform's store for each change of it, since whole copies would have kept the links of a hall busy for longer
-//! than a change may take.
+//! A node that has one of the recent revisions is sent only what it lacks of the newest.
+//!
+//! Guards against full copies for each change. They would keep the links of a hall busy for longer than a
+//! change may take, so each of 984 nodes read the full set from the platform's store instead.
 
 use declarations::Bundle;
 use era::Position;
@@ -8,7 +9,7 @@
 use rollout::{split_sections, Change, Configuration, Head, Offered, Rollout, LARGE_BYTES};
 use std::collections::BTreeMap;
 
-/// A set of routes with these numbers, each with its time limit.
+/// A revision with routes of these numbers and deadlines.
 fn configuration(revision: u64, routes: &BTreeMap<u32, u32>) -> Configuration {
     let mut text = "[registered one]\nhealth_path=/health\n".to_string();
     for (number, deadline_ms) in routes {
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn what_a_change_sends_does_not_grow_with_the_set() {
+fn delta_of_a_change_does_not_grow_with_the_set() {
     for count in [500, 2_000, 8_000] {
         let mut sender = Rollout::default();
         let mut receiver = Rollout::default();
@@ -52,24 +53,24 @@
         routes.remove(&(count / 2));
         let second = configuration(2, &routes);
         assert_eq!(sender.offer(second.clone()), Offered::Taken);
-        let sent = sender
+        let delta = sender
             .delta_for(receiver.content_id())
             .expect("it is in force");
         assert!(
-            sent.size() < 16_000,
+            delta.size() < 16_000,
             "{} bytes of {count} routes",
-            sent.size()
+            delta.size()
         );
         assert!(sender.change_bytes() < LARGE_BYTES);
         assert!(sender.bytes() > 30 * u64::from(count));
-        assert_eq!(receiver.offer(sent), Offered::Taken);
+        assert_eq!(receiver.offer(delta), Offered::Taken);
         let in_force = receiver.in_force().expect("it is in force");
         assert_eq!(in_force.configuration, second);
     }
 }
 
 #[test]
-fn a_node_of_which_nothing_is_known_is_sent_the_whole() {
+fn node_with_unknown_content_is_sent_the_full_revision() {
     let mut sender = Rollout::default();
     let only = configuration(5, &routes(100));
     assert_eq!(sender.offer(only.clone()), Offered::Taken);
@@ -78,23 +79,23 @@
 }
 
 #[test]
-fn a_part_of_a_revision_without_what_it_leaves_out_is_not_taken() {
+fn delta_is_rejected_without_its_base() {
     let mut sender = Rollout::default();
     let mut routes = routes(200);
     sender.offer(configuration(1, &routes));
     let base = sender.content_id();
     routes.insert(7, 700);
     sender.offer(configuration(2, &routes));
-    let sent = sender.delta_for(base).expect("it is in force");
-    let mut blank = Rollout::default();
-    assert!(matches!(blank.offer(sent), Offered::Bad(_)));
-    assert_eq!(blank.revision(), 0);
+    let delta = sender.delta_for(base).expect("it is in force");
+    let mut empty = Rollout::default();
+    assert!(matches!(empty.offer(delta), Offered::Bad(_)));
+    assert_eq!(empty.revision(), 0);
 }
 
 proptest! {
-    /// Whichever of the revisions before a node has, it ends with exactly the newest.
+    /// Whichever earlier revision a node has, the delta gives exactly the newest.
     #[test]
-    fn every_node_ends_with_the_newest(
+    fn delta_from_any_earlier_revision_gives_the_newest(
         changes in prop::collection::vec((0..60_u32, prop::option::of(1..2_000_u32)), 1..12),
         behind in 0..12_usize,
     ) {
@@ -113,8 +114,8 @@
         }
         let mut receiver = Rollout::default();
         receiver.offer(all[behind.min(all.len() - 1)].clone());
-        let sent = sender.delta_for(receiver.content_id()).expect("it is in force");
-        receiver.offer(sent);
+        let delta = sender.delta_for(receiver.content_id()).expect("it is in force");
+        receiver.offer(delta);
         let in_force = receiver.in_force().expect("it is in force");
         prop_assert_eq!(&in_force.configuration, all.last().expect("one at least"));
     }
--- a/components/rollout/tests/rollout/made.rs
+++ b/components/rollout/tests/rollout/made.rs
@@ -1,7 +1,8 @@
-//! A revision that a node makes of what it read is digested once; one that another node tells is compared with its digests.
+//! A revision that a node creates from files is digested once; a received one is compared with its digests.
 //!
-//! The load: all nodes start at once with a large set on a tenth of a core. The set was digested once to make its content
-//! objects, and each was digested again and put together before the check.
+//! Guards against digesting a set twice when all nodes start at once with a large set on a tenth of a
+//! core. It was digested once to create its content objects; each of them was digested again and joined
+//! before the check.
 
 use declarations::Bundle;
 use era::Position;
@@ -27,37 +28,37 @@
     }
 }
 
-fn made(routes: usize) -> UncheckedRevision {
+fn created(routes: usize) -> UncheckedRevision {
     UncheckedRevision::from_bundle(1, change(), bundle(routes), Position::default())
 }
 
-fn finish(rollout: &mut Rollout, mut checking: RevisionCheck) -> Offered {
+fn finish(rollout: &mut Rollout, mut check: RevisionCheck) -> Offered {
     loop {
-        if let Some(checked) = checking.step() {
-            return rollout.end_check(checking, checked);
+        if let Some(checked) = check.step() {
+            return rollout.end_check(check, checked);
         }
     }
 }
 
 #[test]
-fn what_a_node_made_itself_is_not_digested_again_and_what_it_is_told_is() {
+fn only_received_revisions_are_digested_before_the_check() {
     for routes in [500, 2_000, 8_000] {
         let mut rollout = Rollout::default();
-        let checking = rollout.begin_check(made(routes)).expect("new");
-        assert_eq!(checking.digested_bytes(), 0);
-        assert_eq!(finish(&mut rollout, checking), Offered::Taken);
-        let told = made(routes).configuration().clone();
-        let size = told.size();
-        let mut other = Rollout::default();
-        let checking = other.begin_check(told).expect("new");
-        assert_eq!(checking.digested_bytes(), size);
-        assert_eq!(finish(&mut other, checking), Offered::Taken);
-        assert_eq!(rollout.content_id(), other.content_id());
+        let check = rollout.begin_check(created(routes)).expect("new");
+        assert_eq!(check.digested_bytes(), 0);
+        assert_eq!(finish(&mut rollout, check), Offered::Taken);
+        let received = created(routes).configuration().clone();
+        let size = received.size();
+        let mut receiver = Rollout::default();
+        let check = receiver.begin_check(received).expect("new");
+        assert_eq!(check.digested_bytes(), size);
+        assert_eq!(finish(&mut receiver, check), Offered::Taken);
+        assert_eq!(rollout.content_id(), receiver.content_id());
     }
 }
 
 #[test]
-fn the_digests_on_the_wire_are_those_of_the_content() {
+fn created_revision_has_the_digests_of_its_content() {
     let bundle = bundle(300);
     let (files, objects) = split_sections(&bundle);
     let head = Head {
@@ -66,16 +67,16 @@
         change: change(),
         files,
     };
-    let made = UncheckedRevision::from_bundle(1, change(), bundle, Position::default());
-    assert_eq!(made.configuration().head, head);
-    assert_eq!(made.configuration().objects, objects);
+    let created = UncheckedRevision::from_bundle(1, change(), bundle, Position::default());
+    assert_eq!(created.configuration().head, head);
+    assert_eq!(created.configuration().objects, objects);
 }
 
 #[test]
-fn a_set_that_a_node_made_itself_is_refused_like_one_that_it_was_told() {
+fn created_and_received_revisions_are_rejected_alike() {
     let text = "[route r]\nhost=h\npath=/\nservices=nobody:1\n".to_string();
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
-    let made = || {
+    let created = || {
         UncheckedRevision::from_bundle(
             1,
             change(),
@@ -85,8 +86,8 @@
             Position::default(),
         )
     };
-    let told = made().configuration().clone();
-    let of_made = Rollout::default().offer(made());
-    assert!(matches!(of_made, Offered::Bad(_)), "{of_made:?}");
-    assert_eq!(of_made, Rollout::default().offer(told));
+    let received = created().configuration().clone();
+    let of_created = Rollout::default().offer(created());
+    assert!(matches!(of_created, Offered::Bad(_)), "{of_created:?}");
+    assert_eq!(of_created, Rollout::default().offer(received));
 }
--- a/components/rollout/tests/rollout/main.rs
+++ b/components/rollout/tests/rollout/main.rs
@@ -1,4 +1,5 @@
-//! Rollout under races, lost answers, outages, restarts and a store that goes back.
+//! Tests of rollout with racing operators, lost answers, outages, restarts and a store that is restored
+//! from an older copy.
 
 mod differences;
 mod fetch;
@@ -13,7 +14,6 @@
 use era::Position;
 use rollout::{split, Change, Configuration, Head};
 
-/// A revision with these files, read at `read`.
 pub fn revision(revision: u64, bundle: &Bundle, read_at: Position) -> Configuration {
     let (files, objects) = split(bundle);
     let change = Change {
--- a/components/rollout/tests/rollout/returns.rs
+++ b/components/rollout/tests/rollout/returns.rs
@@ -1,4 +1,5 @@
-//! A store that lost a revision and was given another one under its number.
+//! A store that lost a revision when it was restored from an older copy, and whose operators wrote other
+//! content under the same number.
 
 use declarations::Bundle;
 use era::{Era, Position};
@@ -27,48 +28,48 @@
     }
 }
 
-fn holding(configuration: Configuration) -> Rollout {
+fn node_with(configuration: Configuration) -> Rollout {
     let mut rollout = Rollout::default();
     assert_eq!(rollout.offer(configuration), Offered::Taken);
     rollout
 }
 
 #[test]
-fn another_content_under_a_number_is_taken_only_if_it_was_read_later() {
-    let mut rollout = holding(configuration(5, 700, (1, 40)));
+fn different_content_of_a_revision_is_accepted_only_if_read_later() {
+    let mut rollout = node_with(configuration(5, 700, (1, 40)));
     let other = configuration(5, 900, (1, 40));
     assert_eq!(rollout.offer(other), Offered::Differs);
-    let written_anew = configuration(5, 900, (2, 12));
-    assert_eq!(rollout.offer(written_anew.clone()), Offered::Taken);
-    assert_eq!(rollout.offer(written_anew), Offered::Same);
+    let rewritten = configuration(5, 900, (2, 12));
+    assert_eq!(rollout.offer(rewritten.clone()), Offered::Taken);
+    assert_eq!(rollout.offer(rewritten), Offered::Same);
     let lost = configuration(5, 700, (1, 41));
     assert_eq!(rollout.offer(lost), Offered::Differs);
 }
 
 #[test]
-fn a_lower_number_is_never_taken_whatever_the_era() {
-    let mut rollout = holding(configuration(5, 700, (1, 40)));
-    let copy = configuration(3, 900, (7, 90));
-    assert_eq!(rollout.offer(copy), Offered::Older);
+fn lower_revision_is_rejected_in_any_era() {
+    let mut rollout = node_with(configuration(5, 700, (1, 40)));
+    let older = configuration(3, 900, (7, 90));
+    assert_eq!(rollout.offer(older), Offered::Older);
     assert_eq!(rollout.revision(), 5);
 }
 
 #[test]
-fn nodes_tell_contents_of_one_number_apart_and_agree_on_the_one_that_was_read_later() {
-    let lost = holding(configuration(5, 700, (1, 40)));
-    let anew = holding(configuration(5, 900, (2, 12)));
-    let (lost, anew) = (summary(&lost), summary(&anew));
-    assert!(anew.is_newer_than(&lost) && !lost.is_newer_than(&anew));
-    assert!(!anew.is_in_sync_with(&lost));
-    // The same content, read again in the later era, is the same.
-    let again = summary(&holding(configuration(5, 700, (2, 12))));
-    assert!(again.is_in_sync_with(&lost));
-    assert!(!again.is_newer_than(&lost));
+fn nodes_agree_on_the_content_that_was_read_later() {
+    let lost = node_with(configuration(5, 700, (1, 40)));
+    let rewritten = node_with(configuration(5, 900, (2, 12)));
+    let (lost, rewritten) = (summary(&lost), summary(&rewritten));
+    assert!(rewritten.is_newer_than(&lost) && !lost.is_newer_than(&rewritten));
+    assert!(!rewritten.is_in_sync_with(&lost));
+    // The same content, read again in the later era.
+    let reread = summary(&node_with(configuration(5, 700, (2, 12))));
+    assert!(reread.is_in_sync_with(&lost));
+    assert!(!reread.is_newer_than(&lost));
 }
 
 #[test]
-fn content_that_was_read_again_in_a_later_era_is_not_replaced_by_what_was_read_before() {
-    let mut rollout = holding(configuration(5, 700, (1, 40)));
+fn content_read_again_in_a_later_era_is_not_replaced_by_content_read_before() {
+    let mut rollout = node_with(configuration(5, 700, (1, 40)));
     assert_eq!(rollout.offer(configuration(5, 700, (3, 8))), Offered::Same);
     let between = configuration(5, 900, (2, 99));
     assert_eq!(rollout.offer(between), Offered::Differs);
--- a/components/rollout/tests/rollout/reuse.rs
+++ b/components/rollout/tests/rollout/reuse.rs
@@ -1,10 +1,8 @@
-//! What a change of a large set costs a node.
+//! The cost of a change of a large set of declarations.
 //!
-//! *Symptom.* After each change of a large set of declarations a node answered nobody for as long as reading
-//! and checking the whole set took: two seconds for 4,200 routes on a tenth of a core, of the 2.5 s within
-//! which the change has to be in force. *Cause.* Every change was checked from the first line to the last,
-//! whatever it changed. *What settled it.* The lines "a revision came", with a `check_ms` of 900 to 1,830
-//! on such nodes.
+//! Guards against checking the full set after each change. A node on a tenth of a core served no requests
+//! for two seconds while it read and checked 4,200 routes, of the 2.5 s within which a change has to be in
+//! force. Its log lines "a revision came" showed a `check_ms` of 900 to 1,830.
 
 use declarations::{Bundle, Route};
 use era::Position;
@@ -12,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A set of `count` routes of which the one with this number has another time limit.
+/// A revision with `count` routes. The route with the number `changed` has another deadline.
 fn configuration(revision: u64, count: usize, changed: Option<usize>) -> Configuration {
     let mut text = "[registered one]\nhealth_path = /health\n\n".to_string();
     for i in 0..count {
@@ -33,7 +31,7 @@
 }
 
 #[test]
-fn a_change_of_one_route_leaves_the_others_as_they_were_checked() {
+fn change_of_one_route_reuses_the_other_checked_routes() {
     let count = 500;
     let mut rollout = Rollout::default();
     assert_eq!(rollout.offer(configuration(1, count, None)), Offered::Taken);
@@ -45,49 +43,49 @@
     let after = routes(&rollout);
     assert_eq!(after.len(), count);
     for (path, route) in &after {
-        let same = Arc::ptr_eq(route, &before[path]);
-        assert_eq!(same, path != "/7/", "{path}");
+        let is_same = Arc::ptr_eq(route, &before[path]);
+        assert_eq!(is_same, path != "/7/", "{path}");
     }
     assert_eq!(after["/7/"].treatment.deadline_ms, 700);
 }
 
-/// Carries a check through; returns its outcome and in how many steps.
-fn finish(rollout: &mut Rollout, mut checking: RevisionCheck) -> (Offered, usize) {
+/// Runs a check to its end. Returns the outcome and the number of steps.
+fn finish(rollout: &mut Rollout, mut check: RevisionCheck) -> (Offered, usize) {
     let mut steps = 1;
     loop {
-        if let Some(checked) = checking.step() {
-            return (rollout.end_check(checking, checked), steps);
+        if let Some(checked) = check.step() {
+            return (rollout.end_check(check, checked), steps);
         }
         steps += 1;
     }
 }
 
 #[test]
-fn a_large_set_is_checked_in_steps_and_a_small_change_of_it_in_few() {
+fn large_set_is_checked_in_many_steps_and_a_small_change_in_few() {
     let mut rollout = Rollout::default();
-    let checking = rollout
+    let check = rollout
         .begin_check(configuration(1, 3_000, None))
         .expect("new");
-    let (offered, steps) = finish(&mut rollout, checking);
+    let (offered, steps) = finish(&mut rollout, check);
     assert_eq!(offered, Offered::Taken);
     assert!(steps >= 20, "{steps} steps");
-    let checking = rollout
+    let check = rollout
         .begin_check(configuration(2, 3_000, Some(9)))
         .expect("new");
-    let (offered, steps) = finish(&mut rollout, checking);
+    let (offered, steps) = finish(&mut rollout, check);
     assert_eq!(offered, Offered::Taken);
     assert!(steps <= 3, "{steps} steps");
 }
 
 #[test]
-fn of_two_revisions_that_are_checked_at_the_same_time_the_higher_one_stays() {
+fn higher_of_two_revisions_checked_concurrently_stays_in_force() {
     let mut rollout = Rollout::default();
     let lower = rollout
         .begin_check(configuration(3, 10, None))
         .expect("new");
     assert_eq!((rollout.revision(), rollout.newest_revision()), (0, 3));
     let same = rollout.begin_check(configuration(3, 10, None));
-    assert_eq!(same.expect_err("once is enough"), Offered::UnderWay);
+    assert_eq!(same.expect_err("it is being checked"), Offered::UnderWay);
     let higher = rollout
         .begin_check(configuration(4, 10, Some(1)))
         .expect("new");
@@ -97,17 +95,19 @@
 }
 
 #[test]
-fn a_revision_that_was_bad_keeps_no_other_out() {
+fn invalid_revision_does_not_block_another() {
     let mut rollout = Rollout::default();
     let mut forged = configuration(3, 10, None);
-    let part = forged.objects.values_mut().next().expect("a part");
-    part.push(b'x');
+    let object = forged.objects.values_mut().next().expect("an object");
+    object.push(b'x');
     assert!(matches!(rollout.begin_check(forged), Err(Offered::Bad(_))));
-    let mut bad = configuration(3, 10, None);
+    let mut invalid = configuration(3, 10, None);
     let text = "[route r]\nhost = h\npath = /\nservices = nobody:1\n".to_string();
     let files = BTreeMap::from([("services.ini".to_string(), text)]);
-    (bad.head.files, bad.objects) = split(&Bundle { files });
-    let checking = rollout.begin_check(bad).expect("its content is whole");
-    assert!(matches!(finish(&mut rollout, checking).0, Offered::Bad(_)));
+    (invalid.head.files, invalid.objects) = split(&Bundle { files });
+    let check = rollout
+        .begin_check(invalid)
+        .expect("its content is complete");
+    assert!(matches!(finish(&mut rollout, check).0, Offered::Bad(_)));
     assert_eq!(rollout.offer(configuration(3, 10, None)), Offered::Taken);
 }
--- a/components/rollout/tests/rollout/world.rs
+++ b/components/rollout/tests/rollout/world.rs
@@ -1,5 +1,5 @@
-//! A store that loses answers and is late, operators that race, nodes that pass revisions on, and
-//! an oracle of what was accepted.
+//! A simulation of a store that loses and delays calls, operators that race, and nodes that forward
+//! revisions. It records which changes were accepted and checks the invariants.
 
 use declarations::Bundle;
 use era::Position;
@@ -20,16 +20,16 @@
 policy = one.rhai
 ";
 
-/// What becomes of a call to the store.
+/// Result of a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It takes effect and is answered.
+pub enum CallResult {
+    /// It takes effect and is answered at once.
     Answered,
     /// It takes effect; the answer is lost.
     AnswerLost,
-    /// It is lost before it takes effect.
+    /// It is lost and has no effect.
     Lost,
-    /// It takes effect later; there is no answer.
+    /// It takes effect later, without an answer.
     Late,
 }
 
@@ -62,7 +62,7 @@
                 ApplyEvent::Written
             }
             ApplyAction::WriteHead(expected, bytes) => self.write_head(expected, bytes),
-            ApplyAction::Done(outcome) => panic!("{outcome:?} is no call"),
+            ApplyAction::Done(outcome) => panic!("{outcome:?} is not a call to the store"),
         }
     }
 
@@ -71,7 +71,7 @@
         Some(Head::from_bytes(bytes).expect("the head was written by an operator"))
     }
 
-    /// The heads from the one in force backwards.
+    /// All heads, the newest first.
     fn chain(&self) -> Vec<Head> {
         let mut chain = Vec::new();
         let mut next = self.head();
@@ -92,19 +92,21 @@
 struct Operator {
     apply: Option<(Apply, ApplyAction)>,
     plan: Option<Plan>,
-    /// A change whose outcome is unknown and has to be asked for again.
+    /// A change whose outcome is unknown, which has to be applied again.
     unknown: Option<Plan>,
 }
 
-/// The world.
+/// The store, its operators and the nodes.
 pub struct World {
     store: Store,
     operators: Vec<Operator>,
     nodes: Vec<Rollout>,
-    /// The highest revision each running node has had.
-    seen: Vec<u64>,
+    /// The highest revision that each node has had in force since it started.
+    highest: Vec<u64>,
+    /// Ids of the accepted changes.
     accepted: BTreeSet<String>,
-    refused: BTreeSet<String>,
+    /// Ids of the changes that ended in a conflict.
+    conflicted: BTreeSet<String>,
     next_change: u64,
 }
 
@@ -121,14 +123,14 @@
                 })
                 .collect(),
             nodes: (0..nodes).map(|_| Rollout::default()).collect(),
-            seen: vec![0; nodes],
+            highest: vec![0; nodes],
             accepted: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            conflicted: BTreeSet::new(),
             next_change: 1,
         }
     }
 
-    /// An operator plans on what is in the store now, or asks again for an unknown change.
+    /// An operator plans a change on the store's head, or applies one with unknown outcome again.
     pub fn plan(&mut self, operator: usize) {
         let base = self.store.head().map_or(0, |head| head.revision);
         let operator = &mut self.operators[operator % 2];
@@ -146,24 +148,24 @@
         operator.apply = Some((apply, action));
     }
 
-    /// An operator's next call to the store, with its fate.
-    pub fn step(&mut self, operator: usize, fate: Fate) {
+    /// Carries out an operator's next call to the store, with this result.
+    pub fn call_store(&mut self, operator: usize, result: CallResult) {
         let index = operator % 2;
         let Some((mut apply, action)) = self.operators[index].apply.take() else {
             return;
         };
         if let ApplyAction::Done(outcome) = action {
-            self.done(index, outcome);
+            self.record_outcome(index, outcome);
             return;
         }
-        let event = match fate {
-            Fate::Answered => self.store.perform(action),
-            Fate::AnswerLost => {
+        let event = match result {
+            CallResult::Answered => self.store.perform(action),
+            CallResult::AnswerLost => {
                 self.store.perform(action);
                 ApplyEvent::NoAnswer
             }
-            Fate::Lost => ApplyEvent::NoAnswer,
-            Fate::Late => {
+            CallResult::Lost => ApplyEvent::NoAnswer,
+            CallResult::Late => {
                 if let ApplyAction::WriteHead(expected, bytes) = action {
                     self.store.late.push((expected, bytes));
                 }
@@ -174,8 +176,8 @@
         self.operators[index].apply = Some((apply, next));
     }
 
-    /// A write that was on its way takes effect, if its condition still holds.
-    pub fn late_write(&mut self, pick: usize) {
+    /// A delayed write takes effect if its condition still holds.
+    pub fn apply_late_write(&mut self, pick: usize) {
         if self.store.late.is_empty() {
             return;
         }
@@ -185,7 +187,7 @@
     }
 
     /// A node reads the store.
-    pub fn read(&mut self, node: usize) {
+    pub fn read_store(&mut self, node: usize) {
         let Some(head) = self.store.head() else {
             return;
         };
@@ -193,8 +195,8 @@
         self.offer(node % self.nodes.len(), configuration);
     }
 
-    /// A node reads an earlier revision from a store that was restored from an old copy.
-    pub fn read_old(&mut self, node: usize, back: usize) {
+    /// A node reads an earlier revision, as from a store that was restored from an older copy.
+    pub fn read_older(&mut self, node: usize, back: usize) {
         let chain = self.store.chain();
         if let Some(head) = chain.get(back) {
             let configuration = self.configuration(head.clone());
@@ -202,8 +204,8 @@
         }
     }
 
-    /// A node passes what it has to another.
-    pub fn pass_on(&mut self, from: usize, to: usize) {
+    /// A node sends its revision to another one.
+    pub fn forward(&mut self, from: usize, to: usize) {
         let Some(in_force) = self.nodes[from % self.nodes.len()].in_force() else {
             return;
         };
@@ -211,47 +213,53 @@
         self.offer(to % self.nodes.len(), configuration);
     }
 
-    /// A node starts again with nothing.
+    /// A node restarts without any revision.
     pub fn restart(&mut self, node: usize) {
         let node = node % self.nodes.len();
         self.nodes[node] = Rollout::default();
-        self.seen[node] = 0;
+        self.highest[node] = 0;
     }
 
-    /// Every node reads the store once.
-    pub fn settle(&mut self) {
+    /// Every node reads the store once; all have its revision then.
+    pub fn converge(&mut self) {
         for node in 0..self.nodes.len() {
-            self.read(node);
+            self.read_store(node);
         }
         let revision = self.store.head().map_or(0, |head| head.revision);
         for node in &self.nodes {
             assert_eq!(
                 node.revision(),
                 revision,
-                "all nodes have the last revision"
+                "all nodes have the newest revision"
             );
         }
     }
 
-    /// What holds at every moment.
+    /// Checks the invariants.
     pub fn check(&self) {
         let chain = self.store.chain();
         let ids: BTreeSet<&String> = chain.iter().map(|head| &head.change.id).collect();
         assert_eq!(ids.len(), chain.len(), "no change is in the chain twice");
         for id in &self.accepted {
-            assert!(ids.contains(id), "change {id} was accepted and is lost");
+            assert!(ids.contains(id), "accepted change {id} is lost");
         }
-        for id in &self.refused {
-            assert!(!ids.contains(id), "change {id} was refused and took effect");
+        for id in &self.conflicted {
+            assert!(
+                !ids.contains(id),
+                "change {id} took effect despite its conflict"
+            );
         }
         for pair in chain.windows(2) {
-            assert!(pair[0].revision > pair[1].revision, "revisions rise");
+            assert!(pair[0].revision > pair[1].revision, "revisions increase");
         }
         for head in &chain {
-            assert!(!head.change.who.is_empty(), "each change has its record");
+            assert!(
+                !head.change.who.is_empty(),
+                "each change has its audit record"
+            );
         }
-        for (node, seen) in self.nodes.iter().zip(&self.seen) {
-            assert!(node.revision() >= *seen, "a node went back");
+        for (node, highest) in self.nodes.iter().zip(&self.highest) {
+            assert!(node.revision() >= *highest, "a node went back");
         }
     }
 
@@ -261,7 +269,7 @@
             !matches!(offered, Offered::Bad(_) | Offered::Differs),
             "{offered:?}"
         );
-        self.seen[node] = self.seen[node].max(self.nodes[node].revision());
+        self.highest[node] = self.highest[node].max(self.nodes[node].revision());
     }
 
     fn configuration(&self, head: Head) -> Configuration {
@@ -285,17 +293,17 @@
         }
     }
 
-    fn done(&mut self, index: usize, outcome: ApplyOutcome) {
+    fn record_outcome(&mut self, index: usize, outcome: ApplyOutcome) {
         let operator = &mut self.operators[index];
         let plan = operator.plan.take().expect("an outcome follows a plan");
         let id = plan.change.id.clone();
         match outcome {
             ApplyOutcome::Accepted(head) => {
-                assert_eq!(head.change.id, id, "the change of another was accepted");
+                assert_eq!(head.change.id, id, "another change was accepted");
                 self.accepted.insert(id);
             }
             ApplyOutcome::Conflict { .. } => {
-                self.refused.insert(id);
+                self.conflicted.insert(id);
             }
             ApplyOutcome::Unknown => operator.unknown = Some(plan),
             ApplyOutcome::Damaged(text) => panic!("{text}"),
