--- a/components/rollout/src/node.rs
+++ b/components/rollout/src/node.rs
@@ -189,7 +189,7 @@
 #[derive(Debug)]
 pub struct RevisionCheck {
     configuration: Configuration,
-    steps: IncrementalCheck,
+    check: IncrementalCheck,
     digested_bytes: usize,
 }
 
@@ -199,14 +199,14 @@
         self.digested_bytes
     }
 
-    /// Work that the check has done so far.
-    pub fn work(&self) -> declarations::BytesRead {
-        self.steps.bytes_read()
+    /// Bytes of the declarations that the check has read so far.
+    pub fn bytes_read(&self) -> declarations::BytesRead {
+        self.check.bytes_read()
     }
 
     /// Runs one step and returns the outcome once it is known.
     pub fn step(&mut self) -> Option<Result<Declarations, String>> {
-        let checked = self.steps.step()?;
+        let checked = self.check.step()?;
         Some(checked.map_err(|problems| problems.to_string()))
     }
 }
@@ -344,11 +344,11 @@
             .in_force
             .as_ref()
             .map(|in_force| &in_force.declarations);
-        let steps = IncrementalCheck::new(bundle, current);
+        let check = IncrementalCheck::new(bundle, current);
         self.checking = Some((revision, configuration.read_at));
         Ok(RevisionCheck {
             configuration,
-            steps,
+            check,
             digested_bytes,
         })
     }
