--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -322,8 +322,8 @@
     let now = node.now();
     let connections = Connections {
         is_evacuated: &|hall| registration.is_evacuated(now, hall),
-        is_up: &|vm| links::is_up(node, vm),
-        is_apart: &|vm| links::is_apart(node, vm),
+        is_up: &|vm| links::is_connected(node, vm),
+        is_apart: &|vm| links::can_dial(node, vm),
         has_failed: &|vm| links::has_failed(node, vm),
     };
     let drawn = candidates::registered(&registration.fleet.borrow(), service, &connections);
@@ -353,13 +353,13 @@
 /// Where a request may run under which an upstream has ended; none if there was no such end. A request that is
 /// held is refused at once.
 fn order_of(node: &Node, req: &Request) -> Result<Option<Vec<Name>>, Refusal> {
-    match containment::standing(node, req) {
+    match containment::verdict(node, req) {
         Verdict::Free => Ok(None),
         Verdict::Suspect => {
-            let order = containment::order(node, &req.service, req.fingerprint());
+            let order = containment::suspect_order(node, &req.service, req.fingerprint());
             Ok(Some(order))
         }
-        Verdict::Held => Err(containment::held()),
+        Verdict::Held => Err(containment::quarantine_refusal()),
     }
 }
 
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -244,7 +244,7 @@
 fn pick(node: &Rc<Node>, any_hall: bool, count: usize) -> Vec<Name> {
     let mut peers = node.other_nodes();
     // Where nodes register, connections to other halls are few.
-    let open = |vm: &Name| node.registration.is_none() || links::is_up(node, vm);
+    let open = |vm: &Name| node.registration.is_none() || links::is_connected(node, vm);
     peers.retain(|(vm, same_hall)| *same_hall || (any_hall && open(vm)));
     peers
         .choose_multiple(&mut rand::rng(), count)
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -6,7 +6,7 @@
 
 mod ends;
 
-pub use ends::{cut_off, upstream_ended};
+pub use ends::{on_abandoned, on_upstream_termination};
 
 use crate::home_driver;
 use crate::links;
@@ -67,7 +67,7 @@
 }
 
 /// How a request is treated that a caller sends.
-pub fn standing(node: &Node, req: &Request) -> Verdict {
+pub fn verdict(node: &Node, req: &Request) -> Verdict {
     let known = node.containment.known.borrow();
     if known.is_empty() {
         return Verdict::Free;
@@ -85,7 +85,7 @@
 }
 
 /// What a caller is told whose request is held.
-pub fn held() -> Refusal {
+pub fn quarantine_refusal() -> Refusal {
     Refusal {
         reason: Reason::Quarantined,
         retry_after_ms: HELD_RETRY_AFTER_MS,
@@ -93,7 +93,7 @@
 }
 
 /// The VMs at which a suspect may run, the best first.
-pub fn order(node: &Node, service: &Name, fingerprint: Fingerprint) -> Vec<Name> {
+pub fn suspect_order(node: &Node, service: &Name, fingerprint: Fingerprint) -> Vec<Name> {
     if let Some(registration) = &node.registration {
         let fleet = registration.fleet.borrow();
         let halls = fleet.ready(service.as_str());
@@ -112,10 +112,10 @@
 
 /// Why an offer is refused before the home duty sees it, for what is known of its request. The entry node may not
 /// have heard of it yet, nor this one.
-pub fn barred(node: &Node, offer: &Offer, req: &Request) -> Option<Refusal> {
-    let standing = standing(node, req);
+pub fn early_refusal(node: &Node, offer: &Offer, req: &Request) -> Option<Refusal> {
+    let standing = verdict(node, req);
     if standing == Verdict::Held {
-        return Some(held());
+        return Some(quarantine_refusal());
     }
     if !is_suspect(node, offer, req) {
         return None;
@@ -144,14 +144,14 @@
         let known = node.containment.known.borrow();
         known.completed_recently(node.now(), req.fingerprint())
     };
-    standing(node, req) == Verdict::Suspect || !offer.suspicion.is_none() && !runs_well()
+    verdict(node, req) == Verdict::Suspect || !offer.suspicion.is_none() && !runs_well()
 }
 
 /// Takes in what another node saw at the end of its upstream, and passes it on where its hall can't.
-pub fn told(node: &Rc<Node>, from: &Name, suspects: Vec<Suspect>) {
+pub fn on_suspects(node: &Rc<Node>, from: &Name, suspects: Vec<Suspect>) {
     let news = learn(node, &suspects);
     if news && is_passed_on(node, from) {
-        links::tell_hall_surely(node, &Frame::Ended(suspects));
+        links::broadcast_to_hall(node, &Frame::Ended(suspects));
     }
 }
 
@@ -182,7 +182,7 @@
 }
 
 /// What follows for the call whose attempt ran when its upstream ended.
-pub fn event(node: &Rc<Node>, id: AttemptId, suspect: Suspect) -> Event<SharedAnswer> {
+pub fn termination_event(node: &Rc<Node>, id: AttemptId, suspect: Suspect) -> Event<SharedAnswer> {
     learn(node, &[suspect]);
     let service = {
         let waiters = node.waiters.borrow();
@@ -195,13 +195,13 @@
         .verdict(node.now(), suspect.fingerprint);
     let order = match (standing, service) {
         (Verdict::Held, _) | (_, None) => Vec::new(),
-        (_, Some(service)) => order(node, &service, suspect.fingerprint),
+        (_, Some(service)) => suspect_order(node, &service, suspect.fingerprint),
     };
     Event::UpstreamTerminated { id, order }
 }
 
 /// Takes in what another node holds, from its record, and what the same start of it held before.
-pub fn record_taken(node: &Rc<Node>, record: &Record, before: Option<&Record>) {
+pub fn on_record(node: &Rc<Node>, record: &Record, before: Option<&Record>) {
     let same_start = before.filter(|before| before.boot == record.boot);
     for fingerprint in same_start
         .into_iter()
@@ -249,7 +249,7 @@
 }
 
 /// Requests that are held, with the ends that this node knows of under each.
-pub fn held_requests(node: &Node) -> Vec<(Fingerprint, usize)> {
+pub fn quarantined_requests(node: &Node) -> Vec<(Fingerprint, usize)> {
     let known = node.containment.known.borrow();
     let held = known.quarantined(node.now());
     let mut held: Vec<(Fingerprint, usize)> = held
@@ -261,7 +261,7 @@
 
 /// Takes in that the upstream beside this node has run a request to a good end. An error says nothing: a request
 /// that ends upstreams may fail before it does.
-pub fn ran(node: &Rc<Node>, req: &Request) {
+pub fn on_local_completion(node: &Rc<Node>, req: &Request) {
     let fingerprint = req.fingerprint();
     let now = node.now();
     let was_known = node
@@ -276,21 +276,21 @@
 }
 
 /// Takes in that a caller was given the upstream's good answer.
-pub fn answered(node: &Node, req: &Request) {
+pub fn on_remote_completion(node: &Node, req: &Request) {
     let now = node.now();
     let mut known = node.containment.known.borrow_mut();
     known.on_remote_completion(now, req.fingerprint());
 }
 
 /// Takes in that a request has run to a good end elsewhere (`ran`), or that an operator frees it.
-pub fn cleared(node: &Rc<Node>, from: &Name, fingerprint: Fingerprint, ran: bool) {
+pub fn on_cleared(node: &Rc<Node>, from: &Name, fingerprint: Fingerprint, ran: bool) {
     if ran {
         let now = node.now();
         let mut known = node.containment.known.borrow_mut();
         known.on_remote_completion(now, fingerprint);
     }
     if clear(node, fingerprint) && is_passed_on(node, from) {
-        links::tell_hall_surely(node, &told_clear(fingerprint, ran));
+        links::broadcast_to_hall(node, &told_clear(fingerprint, ran));
     }
 }
 
@@ -318,7 +318,7 @@
 }
 
 /// Forgets what is old, for as long as the node runs.
-pub async fn run(node: Rc<Node>) {
+pub async fn run_expiry(node: Rc<Node>) {
     loop {
         task::sleep(FORGET_EVERY).await;
         let now = node.now();
@@ -343,7 +343,7 @@
     }
     stats::held(held_count(node));
     for id in copies {
-        home_driver::withdraw(node, id, held());
+        home_driver::withdraw(node, id, quarantine_refusal());
     }
 }
 
@@ -377,12 +377,12 @@
 }
 
 /// An earlier start of this node held these requests: its record goes on naming them.
-pub fn succeed(node: &Rc<Node>, registration: &Registration, earlier: &Record) {
+pub fn adopt_predecessor_record(node: &Rc<Node>, registration: &Registration, earlier: &Record) {
     if earlier.boot == node.boot {
         return;
     }
     node.containment.has_predecessor.set(true);
-    record_taken(node, earlier, None);
+    on_record(node, earlier, None);
     let mut held = registration.fleet.borrow().own().quarantined.clone();
     let before = held.len();
     for fingerprint in &earlier.quarantined {
--- a/components/daemon/src/containment/ends.rs
+++ b/components/daemon/src/containment/ends.rs
@@ -37,7 +37,7 @@
 
 /// Takes in that the upstream beside this node ended, as an exchange found that broke at `at`: what was at work
 /// there is told to all.
-pub fn upstream_ended(
+pub fn on_upstream_termination(
     node: &Rc<Node>,
     start: u64,
     instance: Option<&Incarnation>,
@@ -132,7 +132,7 @@
 }
 
 /// Takes in that an exchange was given up while the upstream worked on it, which may go on with it.
-pub fn cut_off(node: &Node, req: &Request) {
+pub fn on_abandoned(node: &Node, req: &Request) {
     let mut cut_off = node.containment.cut_off.borrow_mut();
     if cut_off.len() >= MOST_CUT_OFF {
         cut_off.pop_front();
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -111,7 +111,7 @@
         running.step(event);
     }
     if matches!(&outcome, Some(Outcome::Answered(answer)) if !answer.is_error()) {
-        containment::answered(node, &running.req);
+        containment::on_remote_completion(node, &running.req);
     }
     CallResult {
         outcome,
@@ -164,7 +164,7 @@
         let now = self.node.now();
         let is_straggler = matches!(event, Event::Straggles(_));
         // An upstream may have ended under a copy since the call began.
-        if is_straggler && containment::standing(self.node, &self.req) != Verdict::Free {
+        if is_straggler && containment::verdict(self.node, &self.req) != Verdict::Free {
             self.call.forbid_hedge();
         }
         let actions = {
@@ -186,7 +186,7 @@
                     repeat,
                     suspicion,
                 } => self.offer(id, to, may_queue, repeat, suspicion),
-                Action::Query { id, to } => links::ask(self.node, &to, id),
+                Action::Query { id, to } => links::query(self.node, &to, id),
                 Action::Cancel { id, to } => self.cancel(id, &to),
             }
         }
@@ -237,7 +237,7 @@
         };
         node.waiters.borrow_mut().insert(id, waiter);
         if local {
-            home_driver::on_offer(node, &to, offer, self.key, self.req.clone(), Reply::Own);
+            home_driver::on_offer(node, &to, offer, self.key, self.req.clone(), Reply::Local);
         } else {
             links::offer(node, &to, offer, self.key, self.req.clone());
         }
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -86,7 +86,7 @@
     if is_cold(node) {
         stats::upstream_fell();
     }
-    containment::upstream_ended(node, broke.start, instance, broke.at, &broke.cause);
+    containment::on_upstream_termination(node, broke.start, instance, broke.at, &broke.cause);
     Verdict::Ended
 }
 
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -52,7 +52,7 @@
         account: fair_share_account(node, &req),
         ..offer
     };
-    if let Some(refusal) = containment::barred(node, &offer, &req) {
+    if let Some(refusal) = containment::early_refusal(node, &offer, &req) {
         refuse_at_door(node, offer.id, refusal, &reply);
         return;
     }
@@ -483,8 +483,8 @@
     }
     let req = node.jobs.borrow().get(&id).map(|job| job.req.clone());
     match (verdict, req) {
-        (Verdict::Good, Some(req)) => containment::ran(node, &req),
-        (Verdict::Broken | Verdict::Cancelled, Some(req)) => containment::cut_off(node, &req),
+        (Verdict::Good, Some(req)) => containment::on_local_completion(node, &req),
+        (Verdict::Broken | Verdict::Cancelled, Some(req)) => containment::on_abandoned(node, &req),
         _ => {}
     }
     let answer = answer.map(Arc::new);
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -91,7 +91,7 @@
     local::spawn(links::run_heartbeats(node.clone()));
     local::spawn(watching::run(node.clone()));
     local::spawn(home_driver::run_ticks(node.clone()));
-    local::spawn(containment::run(node.clone()));
+    local::spawn(containment::run_expiry(node.clone()));
     local::spawn(callers::run_lease_renewals(node.clone()));
     local::spawn(operators::run_commands(node.clone(), rx));
     if let Some(pool) = node.pool.clone().filter(|_| node.registration.is_none()) {
--- a/components/daemon/src/links/dial.rs
+++ b/components/daemon/src/links/dial.rs
@@ -117,10 +117,10 @@
 }
 
 /// Learns from the peers at the addresses in the settings: the list of VMs and the revision.
-pub async fn ask_seeds(node: &Rc<Node>) {
+pub async fn query_seeds(node: &Rc<Node>) {
     for address in node.cfg.seeds.clone() {
         let peer = address.to_string();
-        if let Err(error) = timeout(SEED_TIMEOUT, ask_seed(node, &peer))
+        if let Err(error) = timeout(SEED_TIMEOUT, query_seed(node, &peer))
             .await
             .unwrap_or(Ok(()))
         {
@@ -130,7 +130,7 @@
 }
 
 /// Reads what one seed has that is newer, until it has nothing more to say.
-async fn ask_seed(node: &Rc<Node>, peer: &str) -> Result<()> {
+async fn query_seed(node: &Rc<Node>, peer: &str) -> Result<()> {
     let stream = TcpStream::connect(peer)
         .await
         .map_err(|error| Error::new(Step::Connect, peer, error))?;
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -57,15 +57,15 @@
         Frame::Broken { id, load, ended } => {
             on_load_report(node, from, load);
             let event = match ended {
-                Some(suspect) => containment::event(node, id, suspect),
+                Some(suspect) => containment::termination_event(node, id, suspect),
                 None => Event::Broken(id),
             };
             deliver(node, id, event);
         }
         Frame::Straggles { id } => deliver(node, id, Event::Straggles(id)),
-        Frame::Ended(suspects) => containment::told(node, from, suspects),
+        Frame::Ended(suspects) => containment::on_suspects(node, from, suspects),
         Frame::Cleared { fingerprint, ran } => {
-            containment::cleared(node, from, fingerprint, ran);
+            containment::on_cleared(node, from, fingerprint, ran);
         }
         Frame::Told { id, reply } => told(node, id, reply),
         Frame::Alive { load } => {
@@ -93,10 +93,10 @@
                 revision,
                 req,
             };
-            relay::take_in(node, id, relay, reply.clone());
+            relay::on_relay(node, id, relay, reply.clone());
         }
         Frame::Relayed { id, outcome } => {
-            relay::relayed(node, id, relay::Relayed::Outcome(outcome));
+            relay::on_relayed(node, id, relay::RelayResult::Outcome(outcome));
         }
         Frame::Registered(record) => {
             if let Some(registration) = node.registration.clone() {
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -7,14 +7,14 @@
 mod socket;
 
 pub use accept::serve;
-pub use dial::ask_seeds;
+pub use dial::query_seeds;
 pub use heartbeat::run_heartbeats;
 
 use crate::coordinator;
 use crate::entry_driver;
 use crate::node::{Node, PendingQueries};
 use crate::recovery;
-use crate::relay::{self, Relayed};
+use crate::relay::{self, RelayResult};
 use async_channel::Sender;
 use audit::stats;
 use declarations::MAX_BUNDLE_BYTES;
@@ -99,7 +99,7 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// The entry duty of this node.
-    Own,
+    Local,
     /// The node at the other end of a connection.
     Peer(Outlet),
 }
@@ -109,7 +109,7 @@
     /// asks what became of its attempts.
     pub fn send(&self, node: &Rc<Node>, frame: Frame) {
         match self {
-            Reply::Own => frames::take_in(node, &node.cfg.vm, frame, &Reply::Own),
+            Reply::Local => frames::take_in(node, &node.cfg.vm, frame, &Reply::Local),
             Reply::Peer(out) => {
                 if !push(node, out, &frame) {
                     out.close();
@@ -120,9 +120,9 @@
 
     /// Sends a frame without which nothing is wrong. When a peer's queue is full the frame is dropped, and its
     /// connection stays open.
-    pub fn send_optional(&self, node: &Rc<Node>, frame: Frame) {
+    pub fn send_best_effort(&self, node: &Rc<Node>, frame: Frame) {
         match self {
-            Reply::Own => self.send(node, frame),
+            Reply::Local => self.send(node, frame),
             Reply::Peer(out) => {
                 if !push(node, out, &frame) {
                     stats::frame_dropped(frame.kind());
@@ -138,7 +138,7 @@
 }
 
 /// Asks another node about an attempt that was sent to it.
-pub fn ask(node: &Rc<Node>, to: &Name, id: AttemptId) {
+pub fn query(node: &Rc<Node>, to: &Name, id: AttemptId) {
     let boot = node
         .waiters
         .borrow()
@@ -156,7 +156,7 @@
 }
 
 /// Sends a frame that needs no answer to the other nodes of this hall.
-pub fn tell_hall_surely(node: &Rc<Node>, frame: &Frame) {
+pub fn broadcast_to_hall(node: &Rc<Node>, frame: &Frame) {
     let others = node.other_nodes().into_iter();
     for (vm, _) in others.filter(|(_, same_hall)| *same_hall) {
         send(node, &vm, frame);
@@ -164,7 +164,7 @@
 }
 
 /// Sends a frame to the other nodes of this hall to which a connection is open.
-pub fn tell_hall(node: &Rc<Node>, frame: &Frame) {
+pub fn broadcast_to_connected(node: &Rc<Node>, frame: &Frame) {
     let near: Vec<Name> = node
         .other_nodes()
         .into_iter()
@@ -214,12 +214,12 @@
 
     fn connected_in_hall(&self) -> Vec<Name> {
         let near = self.0.other_nodes().into_iter();
-        let near = near.filter(|(vm, same_hall)| *same_hall && is_up(&self.0, vm));
+        let near = near.filter(|(vm, same_hall)| *same_hall && is_connected(&self.0, vm));
         near.map(|(vm, _)| vm).collect()
     }
 
     fn is_connected(&self, vm: &Name) -> bool {
-        is_up(&self.0, vm)
+        is_connected(&self.0, vm)
     }
 
     fn send(&self, to: &Name, message: quota::Message) {
@@ -228,18 +228,18 @@
 }
 
 /// Number of other nodes of this hall that are known, and to how many of them a connection is open.
-pub fn near(node: &Node) -> (usize, usize) {
+pub fn hall_connections(node: &Node) -> (usize, usize) {
     let near = node
         .other_nodes()
         .into_iter()
         .filter(|(_, same_hall)| *same_hall);
     let near: Vec<Name> = near.map(|(vm, _)| vm).collect();
-    let open = near.iter().filter(|vm| is_up(node, vm)).count();
+    let open = near.iter().filter(|vm| is_connected(node, vm)).count();
     (near.len(), open)
 }
 
 /// Whether there is neither a connection to a node nor a try to open one.
-pub fn is_apart(node: &Node, vm: &Name) -> bool {
+pub fn can_dial(node: &Node, vm: &Name) -> bool {
     match node.links.borrow().get(vm) {
         Some(Link::Up(_) | Link::Connecting(_)) => false,
         Some(Link::Failed(until)) => node.now() >= *until,
@@ -248,7 +248,7 @@
 }
 
 /// Number of connections that are being opened.
-pub fn connecting(node: &Node) -> usize {
+pub fn connecting_count(node: &Node) -> usize {
     let links = node.links.borrow();
     let connecting = links
         .values()
@@ -257,12 +257,12 @@
 }
 
 /// Whether a connection to a node is open.
-pub fn is_up(node: &Node, vm: &Name) -> bool {
+pub fn is_connected(node: &Node, vm: &Name) -> bool {
     matches!(node.links.borrow().get(vm), Some(Link::Up(_)))
 }
 
 /// Whether a connection to a node is open or being opened.
-pub fn is_open_or_opening(node: &Node, vm: &Name) -> bool {
+pub fn is_connected_or_connecting(node: &Node, vm: &Name) -> bool {
     let links = node.links.borrow();
     matches!(links.get(vm), Some(Link::Up(_) | Link::Connecting(_)))
 }
@@ -275,7 +275,7 @@
 
 /// Opens a connection to a node, unless there is one or the last try has just failed.
 pub fn dial(node: &Rc<Node>, vm: &Name) {
-    if !is_apart(node, vm) {
+    if !can_dial(node, vm) {
         return;
     }
     let mut links = node.links.borrow_mut();
@@ -285,7 +285,7 @@
 }
 
 /// Gives a connection up that leads to an earlier start of a node, or to an address it has left.
-pub fn renew(node: &Rc<Node>, vm: &Name) {
+pub fn close_outdated(node: &Rc<Node>, vm: &Name) {
     let links = node.links.borrow();
     let Some(Link::Up(up)) = links.get(vm) else {
         return;
@@ -372,7 +372,7 @@
             entry_driver::deliver(node, offer.id, Event::NotSent(offer.id));
         }
         Frame::Ask { id, .. } => entry_driver::deliver(node, *id, Event::NodeGone(*id)),
-        Frame::Relay { id, .. } => relay::relayed(node, *id, Relayed::NotSent),
+        Frame::Relay { id, .. } => relay::on_relayed(node, *id, RelayResult::NotSent),
         Frame::Recover { id } => recovery::on_recovered(node, *id, None),
         Frame::Claim { id, .. } => coordinator::on_claim_reply(node, *id, ClaimReply::Uncertain),
         _ => {}
@@ -398,7 +398,7 @@
 /// Ends the questions that wait for an answer of `vm`.
 fn questions_lost(node: &Rc<Node>, vm: &Name) {
     for id in waiting_at(&node.relays.borrow(), vm) {
-        relay::relayed(node, id, Relayed::Lost);
+        relay::on_relayed(node, id, RelayResult::Lost);
     }
     for id in waiting_at(&node.claim_waiters.borrow(), vm) {
         coordinator::on_claim_reply(node, id, ClaimReply::Uncertain);
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -6,7 +6,7 @@
 pub use crate::jobs::{Job, Parent, Waiter};
 use crate::links::{Link, Reply};
 use crate::registration::Registration;
-use crate::relay::Relayed;
+use crate::relay::RelayResult;
 use crate::reload::Live;
 use crate::store;
 use crate::wakeup::Wakeup;
@@ -95,7 +95,7 @@
     /// Attempts that have not ended.
     pub waiters: RefCell<HashMap<AttemptId, Waiter>>,
     /// Relays that have not ended, with the node they went to.
-    pub relays: RefCell<PendingQueries<Relayed>>,
+    pub relays: RefCell<PendingQueries<RelayResult>>,
     /// Claims that have not been answered.
     pub claim_waiters: RefCell<PendingQueries<ClaimReply<SharedAnswer>>>,
     /// Questions of a new boot that have not been answered.
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -304,7 +304,7 @@
 }
 
 fn held(node: &Node) -> Vec<HeldRequest> {
-    let held = containment::held_requests(node).into_iter();
+    let held = containment::quarantined_requests(node).into_iter();
     held.map(|(fingerprint, ends)| HeldRequest { fingerprint, ends })
         .collect()
 }
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -87,7 +87,7 @@
 /// A node that the store answers, as far as is heard; any other if there is none.
 fn pick(node: &Rc<Node>) -> Option<Name> {
     let answered = node.watch.borrow().active_watchers(node.now());
-    let connected = |vm: &&Name| links::is_up(node, vm);
+    let connected = |vm: &&Name| links::is_connected(node, vm);
     let answered: Vec<&Name> = answered.iter().filter(connected).collect();
     if let Some(vm) = answered.choose(&mut rand::rng()) {
         return Some((*vm).clone());
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -65,7 +65,7 @@
     let mut told = registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm));
     drop(fleet);
     if is_deferred {
-        told.retain(|vm| links::is_up(node, vm));
+        told.retain(|vm| links::is_connected(node, vm));
     }
     for vm in told {
         links::send(node, &vm, &Frame::Registered(Box::new(own.clone())));
@@ -131,19 +131,19 @@
             let news = passed_on.then(|| Frame::Registered(Box::new(after.clone())));
             drop(fleet);
             if let Some(news) = news {
-                links::tell_hall(node, &news);
+                links::broadcast_to_connected(node, &news);
             }
             if matches!(source, Source::Compared(_)) {
                 registration.has_learned.set(true);
             }
             if renewed || moved {
-                links::renew(node, &vm);
+                links::close_outdated(node, &vm);
                 node.entry.borrow_mut().forget(&vm);
             }
             if !matches!(source, Source::Store) {
                 node.fleet_changed();
             }
-            containment::record_taken(node, &after_record, before.as_ref());
+            containment::on_record(node, &after_record, before.as_ref());
             let direct = reply.filter(|_| sender == Some(&vm));
             if let (Some(before), Some(reply), true) = (before, direct, renewed) {
                 // The new start may not know what the one before it has told.
@@ -162,7 +162,7 @@
         }
         MergeOutcome::Conflict => ask_its_node(node, registration, offered),
         MergeOutcome::OwnConflict(version) => {
-            containment::succeed(node, registration, &offered);
+            containment::adopt_predecessor_record(node, registration, &offered);
             let own = registration.fleet.borrow_mut().supersede(version);
             audit::own_record(&own);
             announce(node, registration, &own);
@@ -259,9 +259,9 @@
             let others = fleet.others();
             let near = others.filter(|record| record.hall == node.cfg.hall);
             let near = near.map(|record| record.vm.clone());
-            near.filter(|vm| links::is_apart(&node, vm)).collect()
+            near.filter(|vm| links::can_dial(&node, vm)).collect()
         };
-        let room = MOST_DIALS.saturating_sub(links::connecting(&node));
+        let room = MOST_DIALS.saturating_sub(links::connecting_count(&node));
         for vm in apart.choose_multiple(&mut rand::rng(), room) {
             links::dial(&node, vm);
         }
@@ -299,7 +299,7 @@
     registry::start_contacts(
         &registration.fleet.borrow(),
         count,
-        |vm| links::is_open_or_opening(node, vm),
+        |vm| links::is_connected_or_connecting(node, vm),
         |vm| links::has_failed(node, vm),
     )
 }
@@ -342,7 +342,7 @@
 fn near_peers(node: &Rc<Node>, fleet: &registry::Fleet) -> Vec<Name> {
     fleet
         .others()
-        .filter(|record| record.hall == node.cfg.hall && links::is_up(node, &record.vm))
+        .filter(|record| record.hall == node.cfg.hall && links::is_connected(node, &record.vm))
         .map(|record| record.vm.clone())
         .collect()
 }
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -201,7 +201,7 @@
         };
         if object.name == node.cfg.vm {
             *stands = Stands::of(object, &record);
-            containment::succeed(node, registration, &record);
+            containment::adopt_predecessor_record(node, registration, &record);
             if record.boot != node.boot {
                 node.quotas.restarted();
             }
@@ -277,7 +277,7 @@
                             offer::done(node, registration, store::known_era(node));
                             return Ok(());
                         }
-                        containment::succeed(node, registration, &found);
+                        containment::adopt_predecessor_record(node, registration, &found);
                         if found.boot != own.boot {
                             succeed(node, registration, found);
                         }
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -35,7 +35,7 @@
 
 /// How a relay to one node ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Relayed {
+pub enum RelayResult {
     /// The node gave the outcome.
     Outcome(RelayOutcome),
     /// No byte of the relay left this node.
@@ -57,15 +57,15 @@
     for coordinator in ranking(in_force, &relay) {
         relay.remaining_us = deadline.since(node.now());
         let relayed = if coordinator == node.cfg.vm {
-            Relayed::Outcome(coordinator::coordinate(node, relay.clone()).await)
+            RelayResult::Outcome(coordinator::coordinate(node, relay.clone()).await)
         } else {
             ask(node, &coordinator, relay.clone(), deadline).await
         };
         match relayed {
-            Relayed::Outcome(outcome) => return settle(outcome, reason),
-            Relayed::NotSent if reason == Reason::Lost => {}
-            Relayed::NotSent => reason = Reason::Unreachable,
-            Relayed::Lost => reason = Reason::Lost,
+            RelayResult::Outcome(outcome) => return settle(outcome, reason),
+            RelayResult::NotSent if reason == Reason::Lost => {}
+            RelayResult::NotSent => reason = Reason::Unreachable,
+            RelayResult::Lost => reason = Reason::Lost,
         }
         if node.now() >= deadline {
             break;
@@ -85,7 +85,7 @@
 }
 
 /// Takes in a relay from another node.
-pub fn take_in(node: &Rc<Node>, id: AttemptId, relay: Relay, reply: Reply) {
+pub fn on_relay(node: &Rc<Node>, id: AttemptId, relay: Relay, reply: Reply) {
     let node = node.clone();
     node.open_calls.set(node.open_calls.get() + 1);
     local::spawn(async move {
@@ -96,7 +96,7 @@
 }
 
 /// Takes in how a relay ended.
-pub fn relayed(node: &Rc<Node>, id: AttemptId, relayed: Relayed) {
+pub fn on_relayed(node: &Rc<Node>, id: AttemptId, relayed: RelayResult) {
     let delivered = node
         .relays
         .borrow()
@@ -117,7 +117,7 @@
     ranking
 }
 
-async fn ask(node: &Rc<Node>, coordinator: &Name, relay: Relay, deadline: Moment) -> Relayed {
+async fn ask(node: &Rc<Node>, coordinator: &Name, relay: Relay, deadline: Moment) -> RelayResult {
     let (tx, rx) = async_channel::bounded(1);
     let id = node.next_query_id();
     node.relays
@@ -137,6 +137,6 @@
     node.relays.borrow_mut().remove(&id);
     match relayed {
         Ok(Ok(relayed)) => relayed,
-        _ => Relayed::Outcome(RelayOutcome::Unknown(Reason::Deadline)),
+        _ => RelayResult::Outcome(RelayOutcome::Unknown(Reason::Deadline)),
     }
 }
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -95,11 +95,11 @@
     let frame = Frame::Summary(node.summary());
     match from {
         None => {
-            links::tell_hall(node, &frame);
+            links::broadcast_to_connected(node, &frame);
             registration::send_to_other_halls(node, registration, &frame);
         }
         Some(vm) if node.hall_of(vm).is_some_and(|hall| hall != node.cfg.hall) => {
-            links::tell_hall(node, &frame);
+            links::broadcast_to_connected(node, &frame);
         }
         Some(_) => {}
     }
--- a/components/daemon/src/straggling.rs
+++ b/components/daemon/src/straggling.rs
@@ -47,5 +47,5 @@
     let (ran_us, usual_us) = run_times.unwrap_or_default();
     audit::straggles(&caller_id, id, ran_us, usual_us, &node.load());
     stats::straggled();
-    reply.send_optional(node, Frame::Straggles { id });
+    reply.send_best_effort(node, Frame::Straggles { id });
 }
--- a/components/daemon/src/watching/freshness.rs
+++ b/components/daemon/src/watching/freshness.rs
@@ -47,7 +47,7 @@
     let is_news = before_us.is_none_or(|before_us| before_us > age_us + period_us);
     let is_far = node.hall_of(from).is_some_and(|hall| hall != node.cfg.hall);
     if is_news && is_far {
-        links::tell_hall(node, &Frame::Summary(node.summary()));
+        links::broadcast_to_connected(node, &Frame::Summary(node.summary()));
     }
 }
 
--- a/components/daemon/src/watching/listed.rs
+++ b/components/daemon/src/watching/listed.rs
@@ -62,7 +62,7 @@
         return;
     }
     let node = node.clone();
-    local::spawn(async move { links::ask_seeds(&node).await });
+    local::spawn(async move { links::query_seeds(&node).await });
 }
 
 async fn read_head(node: &Rc<Node>) -> Result<Option<Object>> {
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -99,7 +99,7 @@
     learn(&node).await;
     loop {
         let now = node.now();
-        let (known, open) = links::near(&node);
+        let (known, open) = links::hall_connections(&node);
         node.watch.borrow_mut().on_connections(now, known, open);
         let advice = node.watch.borrow_mut().advice(now);
         match advice {
@@ -335,9 +335,9 @@
     let frame = Frame::Watch { notice, summary };
     if node.registration.is_some() {
         // Connections to the whole hall are kept open.
-        links::tell_hall(node, &frame);
+        links::broadcast_to_connected(node, &frame);
     } else {
-        links::tell_hall_surely(node, &frame);
+        links::broadcast_to_hall(node, &frame);
     }
 }
 
