--- a/components/audit/src/containment.rs
+++ b/components/audit/src/containment.rs
@@ -8,7 +8,7 @@
 
 /// The upstream beside this node ended while it ran these requests: an exchange broke, and nothing stands at its
 /// address any more.
-pub fn upstream_ended(
+pub fn upstream_terminated(
     instance: Option<&Incarnation>,
     cause: &Error,
     running: &[(String, Suspect)],
@@ -27,7 +27,7 @@
 }
 
 /// An upstream ended while it ran a request; `ends` are known now.
-pub fn suspected(suspect: &Suspect, standing: Verdict, ends: usize) {
+pub fn suspect_recorded(suspect: &Suspect, standing: Verdict, ends: usize) {
     if allowed(Kind::Contained) {
         tracing::info!(
             fingerprint = %suspect.fingerprint,
@@ -41,19 +41,19 @@
 }
 
 /// Another node holds a request; `standing` is how this one treats it.
-pub fn held(fingerprint: Fingerprint, vm: &Name, standing: Verdict) {
+pub fn request_quarantined(fingerprint: Fingerprint, vm: &Name, standing: Verdict) {
     if allowed(Kind::Contained) {
         tracing::info!(%fingerprint, %vm, ?standing, "a request is held");
     }
 }
 
 /// An operator frees a request.
-pub fn released(fingerprint: Fingerprint, who: &str, why: &str) {
+pub fn release_requested(fingerprint: Fingerprint, who: &str, why: &str) {
     tracing::info!(%fingerprint, who, why, "an operator frees a request");
 }
 
 /// A request under suspicion has run to its end.
-pub fn cleared(fingerprint: Fingerprint) {
+pub fn request_cleared(fingerprint: Fingerprint) {
     if allowed(Kind::Contained) {
         tracing::info!(%fingerprint, "a request is cleared");
     }
--- a/components/audit/src/declarations.rs
+++ b/components/audit/src/declarations.rs
@@ -17,7 +17,7 @@
 }
 
 /// A revision with its content arrived; checking it took `check_us`, with the pauses between its steps.
-pub fn revision_came(
+pub fn revision_received(
     revision: u64,
     bytes: usize,
     origin: &Origin,
@@ -44,7 +44,7 @@
 }
 
 /// Another node knows something newer, and this is what is done about it. `missed` copies were asked for in vain.
-pub fn newer_there(peer: &Name, mine: &Summary, theirs: &Summary, advice: Advice, missed: u32) {
+pub fn peer_has_newer(peer: &Name, mine: &Summary, theirs: &Summary, advice: Advice, missed: u32) {
     if allowed(Kind::Declarations) {
         tracing::info!(
             peer = %peer,
@@ -68,7 +68,7 @@
 }
 
 /// A revision is in force from now on. The one before it was last confirmed `age_us` ago, if ever.
-pub fn in_force(before: Option<&InForce>, after: &InForce, age_us: Option<u64>) {
+pub fn revision_in_force(before: Option<&InForce>, after: &InForce, age_us: Option<u64>) {
     tracing::info!(
         revision = after.configuration.head.revision,
         before = before.map_or(0, |before| before.configuration.head.revision),
--- a/components/audit/src/lib.rs
+++ b/components/audit/src/lib.rs
@@ -15,20 +15,26 @@
 pub mod stats;
 mod store;
 
-pub use containment::{cleared, held, released, suspected, upstream_ended};
-pub use declarations::{declarations_sent, in_force, newer_there, revision_came, Origin};
-pub use notices::{bad_notice, leaving_noticed, request_limit};
+pub use containment::{
+    release_requested, request_cleared, request_quarantined, suspect_recorded, upstream_terminated,
+};
+pub use declarations::{
+    declarations_sent, peer_has_newer, revision_in_force, revision_received, Origin,
+};
+pub use notices::{bad_notice, drain_advertised, request_limit};
 pub use purpose::Purpose;
 pub use registrations::{
-    differs, found, leaves, not_beside, own_record, registered, still_stands, stored_for,
-    unreachable,
+    implausible_record, own_record_changed, peer_record_offered, record_conflict,
+    upstream_departing, upstream_found, upstream_registered, upstream_still_answers,
+    wrong_upstream,
 };
 pub use requests::{
-    barred, call_ended, caller_changed, cold, hedged, home, look_failed, no_route, offered,
-    over_limit, routed, straggles, Routed,
+    attempt_decided, call_ended, caller_changed, cold_state_changed, hedge_decided, no_route,
+    over_limit, probe_failed, request_denied, request_offered, request_routed, straggler_detected,
+    Routed,
 };
 pub use startup_records::{StartupCount, StartupRecords};
 pub use store::{
-    copy_is_older, declarations_read, halls_evacuated, listed, platform_called, store_came_back,
-    suspended, unreadable,
+    declarations_read, halls_evacuated, object_unreadable, platform_called, records_listed,
+    store_has_older_version, store_restored, vm_suspended,
 };
--- a/components/audit/src/limit.rs
+++ b/components/audit/src/limit.rs
@@ -47,7 +47,7 @@
                 true
             }
             None => {
-                stats::line_left_out();
+                stats::log_line_suppressed();
                 false
             }
         }
--- a/components/audit/src/notices.rs
+++ b/components/audit/src/notices.rs
@@ -53,7 +53,7 @@
 }
 
 /// An answer says that its upstream, which stands on `vm`, leaves.
-pub fn leaving_noticed(incarnation: &Incarnation, vm: &Name) {
+pub fn drain_advertised(incarnation: &Incarnation, vm: &Name) {
     tracing::info!(
         instance = %incarnation.id,
         born_ms = incarnation.born_ms,
--- a/components/audit/src/registrations.rs
+++ b/components/audit/src/registrations.rs
@@ -8,7 +8,7 @@
 };
 
 /// The upstream beside this node registered something new.
-pub fn registered(instance: &Instance, sequence: u64, verdict: HeartbeatOutcome) {
+pub fn upstream_registered(instance: &Instance, sequence: u64, verdict: HeartbeatOutcome) {
     tracing::info!(
         instance = %instance.id,
         born_ms = instance.born_ms,
@@ -23,7 +23,7 @@
 }
 
 /// A word about the upstream beside this node was not believed: `source` is where it came from.
-pub fn not_beside(
+pub fn wrong_upstream(
     told: &Instance,
     beside: &ConfiguredUpstream,
     mismatch: Mismatch,
@@ -46,7 +46,7 @@
 }
 
 /// Another start was said to stand where one that takes work still answers.
-pub fn still_stands(known: &Instance, told: &Instance) {
+pub fn upstream_still_answers(known: &Instance, told: &Instance) {
     stats::bad_input("heartbeat");
     if allowed(Kind::NotBelieved) {
         tracing::warn!(
@@ -59,7 +59,7 @@
 }
 
 /// Two records of a VM have one version and say different things: somebody else wrote one of them.
-pub fn differs(known: &Record, offered: &Record) {
+pub fn record_conflict(known: &Record, offered: &Record) {
     stats::bad_input("peer");
     if allowed(Kind::NotBelieved) {
         let upstream = |record: &Record| {
@@ -78,7 +78,7 @@
 }
 
 /// Another node passed on a record with a version that no node can have.
-pub fn unreachable(record: &Record) {
+pub fn implausible_record(record: &Record) {
     stats::bad_input("peer");
     if allowed(Kind::NotBelieved) {
         tracing::warn!(
@@ -91,17 +91,17 @@
 }
 
 /// The upstream beside this node said that it ends.
-pub fn leaves(incarnation: &Incarnation, farewell: DepartureOutcome) {
+pub fn upstream_departing(incarnation: &Incarnation, farewell: DepartureOutcome) {
     tracing::info!(instance = %incarnation.id, born_ms = incarnation.born_ms, ?farewell, "an upstream leaves");
 }
 
 /// The run that an earlier start of this node knew was found again.
-pub fn found(instance: &Instance, taken: bool) {
+pub fn upstream_found(instance: &Instance, taken: bool) {
     tracing::info!(instance = %instance.id, taken, "an upstream was found at its address");
 }
 
 /// Another node's record was offered to the store for it.
-pub fn stored_for(record: &Record) {
+pub fn peer_record_offered(record: &Record) {
     tracing::info!(
         vm = %record.vm,
         generation = record.version.generation,
@@ -111,7 +111,7 @@
 }
 
 /// This node's record changed.
-pub fn own_record(own: &Record) {
+pub fn own_record_changed(own: &Record) {
     tracing::info!(
         generation = own.version.generation,
         change = own.version.change,
@@ -133,7 +133,7 @@
 }
 
 /// Another node's record was taken in.
-pub fn record_taken(after: &Record, before: Option<&Record>) {
+pub fn record_applied(after: &Record, before: Option<&Record>) {
     tracing::info!(
         vm = %after.vm,
         generation = after.version.generation,
--- a/components/audit/src/requests.rs
+++ b/components/audit/src/requests.rs
@@ -21,17 +21,17 @@
     /// The service in whose name it runs, and what says so.
     pub caller: Option<&'a LocalService>,
     /// The service in whose name its caller says that it calls; never believed.
-    pub caller_told: Option<&'a str>,
+    pub claimed_caller: Option<&'a str>,
     /// How long its caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// How long ago its caller first tried, where that is known, in milliseconds.
     pub since_first_try_ms: u64,
     /// Requests of callers in progress.
-    pub open: usize,
+    pub calls_in_progress: usize,
 }
 
 /// A route and a service were found for a request.
-pub fn routed(routed: &Routed<'_>) {
+pub fn request_routed(routed: &Routed<'_>) {
     if !allowed(Kind::Routed) {
         return;
     }
@@ -43,7 +43,7 @@
         fingerprint = %req.fingerprint(),
         caller = routed.caller.map_or("-", |named| named.service.as_str()),
         caller_from = routed.caller.map_or("-", |named| named.origin.as_str()),
-        caller_told = routed.caller_told.unwrap_or("-"),
+        caller_told = routed.claimed_caller.unwrap_or("-"),
         account = req.account.as_ref().map_or("-", Name::as_str),
         revision = routed.revision,
         level = req.level,
@@ -51,7 +51,7 @@
         timeout_ms = route.treatment.deadline_ms,
         objective_ms = route.objective_ms,
         since_first_try_ms = routed.since_first_try_ms,
-        open = routed.open,
+        open = routed.calls_in_progress,
         "request routed"
     );
 }
@@ -82,7 +82,7 @@
 
 /// A request was turned away for its key, by what was known of accounts: the revision, and since when the platform was
 /// not known to hold anything newer. The key itself is told nowhere.
-pub fn barred(id: &str, refusal: &Refusal, revision: u64, age_us: Option<u64>) {
+pub fn request_denied(id: &str, refusal: &Refusal, revision: u64, age_us: Option<u64>) {
     if allowed(Kind::Routed) {
         let age_ms = age_us.map(|age_us| age_us / 1_000);
         let reason = refusal.reason.as_str();
@@ -112,7 +112,7 @@
 }
 
 /// A look at the upstream's pace brought nothing; work starts without a word for a while.
-pub fn look_failed(cause: &str) {
+pub fn probe_failed(cause: &str) {
     if allowed(Kind::Home) {
         tracing::info!(cause, "the upstream's pace is not known");
     }
@@ -120,7 +120,7 @@
 
 /// A request was offered to the node beside an upstream. `view` is what was known of it then, and
 /// `age_us` how old that was.
-pub fn offered(id: &str, offer: &Offer, to: &Name, view: &UpstreamView, age_us: u64) {
+pub fn request_offered(id: &str, offer: &Offer, to: &Name, view: &UpstreamView, age_us: u64) {
     if allowed(Kind::Offered) {
         let load = view.load.unwrap_or_default();
         tracing::info!(
@@ -148,7 +148,7 @@
 }
 
 /// A run takes longer than the 90th percentile of runs like it, and its entry duty is told.
-pub fn straggles(id: &str, attempt: AttemptId, ran_us: u64, usual_us: u64, load: &Load) {
+pub fn straggler_detected(id: &str, attempt: AttemptId, ran_us: u64, usual_us: u64, load: &Load) {
     if allowed(Kind::Hedged) {
         tracing::info!(
             id,
@@ -165,7 +165,7 @@
 
 /// A second attempt beside a straggling one was made or not, or one of the two brought the answer. `to` is where it
 /// went, or would have gone.
-pub fn hedged(id: &str, hedge: &Hedge) {
+pub fn hedge_decided(id: &str, hedge: &Hedge) {
     if allowed(Kind::Hedged) {
         let second = hedge.hedged.map(|hedged| hedged.to_string());
         let ms = |us: Option<u64>| us.map(|us| us / 1_000);
@@ -189,7 +189,7 @@
 /// The node beside an upstream decided about an attempt.
 /// `pace_age_us` is how old the upstream's word on its pace was; none when it never said. `account` is whose share the
 /// attempt runs in; none where slots are not shared among accounts.
-pub fn home(
+pub fn attempt_decided(
     id: &str,
     attempt: AttemptId,
     decision: &str,
@@ -224,7 +224,7 @@
 }
 
 /// The upstream is cold for `left_us` more by its own word, or warm again when that is 0.
-pub fn cold(left_us: u64, source: &'static str) {
+pub fn cold_state_changed(left_us: u64, source: &'static str) {
     if left_us > 0 {
         tracing::info!(left_ms = left_us / 1_000, source, "the upstream is cold");
     } else {
--- a/components/audit/src/startup_records.rs
+++ b/components/audit/src/startup_records.rs
@@ -27,9 +27,9 @@
 
 impl StartupRecords {
     /// Another node's record was taken in, in place of the one before.
-    pub fn record_taken(&mut self, after: &Record, before: Option<&Record>) {
+    pub fn record_applied(&mut self, after: &Record, before: Option<&Record>) {
         if self.has_own_line(after, before) {
-            registrations::record_taken(after, before);
+            registrations::record_applied(after, before);
         }
     }
 
@@ -50,8 +50,8 @@
     }
 
     /// The start is over: writes the line. Each further record has its own.
-    pub fn end(&mut self) {
-        if let Some(arrived) = self.count() {
+    pub fn finish(&mut self) {
+        if let Some(arrived) = self.finish_count() {
             tracing::info!(
                 nodes = arrived.nodes,
                 changes = arrived.changes,
@@ -61,7 +61,7 @@
     }
 
     /// Ends the count; what was counted, if anything.
-    pub fn count(&mut self) -> Option<StartupCount> {
+    pub fn finish_count(&mut self) -> Option<StartupCount> {
         self.has_ended = true;
         let arrived = StartupCount {
             nodes: std::mem::take(&mut self.nodes).len(),
--- a/components/audit/src/stats.rs
+++ b/components/audit/src/stats.rs
@@ -17,7 +17,7 @@
 }
 
 /// A caller came back whose request was refused before.
-pub fn caller_returned() {
+pub fn caller_retried() {
     counter!("drumwheel_callers_returned_total").increment(1);
 }
 
@@ -33,7 +33,7 @@
 }
 
 /// A run was reported because it took much longer than usual.
-pub fn straggled() {
+pub fn straggler_reported() {
     counter!("drumwheel_stragglers_total").increment(1);
 }
 
@@ -49,7 +49,7 @@
 }
 
 /// A frame or event came too late to matter.
-pub fn late(kind: &'static str) {
+pub fn late_event(kind: &'static str) {
     counter!("drumwheel_late_total", "kind" => kind).increment(1);
 }
 
@@ -65,12 +65,12 @@
 }
 
 /// The upstream ended while it ran something.
-pub fn upstream_ended() {
+pub fn upstream_terminated() {
     counter!("drumwheel_upstream_ends_total").increment(1);
 }
 
 /// Requests that no upstream may see.
-pub fn held(count: usize) {
+pub fn set_quarantined(count: usize) {
     gauge!("drumwheel_requests_held").set(count as f64);
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// Name of the histograms of [`worked`].
-pub const WORK: &str = "drumwheel_declarations_work_seconds";
+pub const DECLARATIONS_WORK: &str = "drumwheel_declarations_work_seconds";
 
 /// What a change of the declarations costs a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -128,21 +128,21 @@
 }
 
 /// Work on declarations took so long, in microseconds.
-pub fn worked(work: Work, us: u64) {
+pub fn record_declarations_work(work: Work, us: u64) {
     let step = match work {
         Work::Translate => "translate",
         Work::Check => "check",
     };
-    histogram!(WORK, "step" => step).record(us as f64 / SECOND as f64);
+    histogram!(DECLARATIONS_WORK, "step" => step).record(us as f64 / SECOND as f64);
 }
 
 /// The upstream ended while it was cold.
-pub fn upstream_fell() {
+pub fn overload_crash() {
     counter!("drumwheel_upstream_falls_total").increment(1);
 }
 
 /// The platform's store came back from an older copy.
-pub fn store_came_back() {
+pub fn store_restored() {
     counter!("drumwheel_store_returns_total").increment(1);
 }
 
@@ -153,7 +153,7 @@
 
 /// How a look at the upstream's pace came out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Look {
+pub enum ProbeOutcome {
     /// The upstream said how long work takes.
     Answered,
     /// It did not say.
@@ -163,17 +163,17 @@
 }
 
 /// The upstream beside this node was to be asked how long work takes.
-pub fn looked(look: Look) {
+pub fn probe_finished(look: ProbeOutcome) {
     let outcome = match look {
-        Look::Answered => "answered",
-        Look::Failed => "failed",
-        Look::Refused => "refused",
+        ProbeOutcome::Answered => "answered",
+        ProbeOutcome::Failed => "failed",
+        ProbeOutcome::Refused => "refused",
     };
     counter!("drumwheel_looks_total", "outcome" => outcome).increment(1);
 }
 
 /// A log line was left out because too many of its kind came.
-pub fn line_left_out() {
+pub fn log_line_suppressed() {
     counter!("drumwheel_log_lines_left_out_total").increment(1);
 }
 
@@ -189,7 +189,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// From the whole request to its outcome, at the node that took it.
-    Whole,
+    Total,
     /// From the offer to its refusal or answer, as the node that made it saw it.
     Offer,
     /// Waiting for a slot beside the upstream.
@@ -201,7 +201,7 @@
 impl Stage {
     fn as_str(self) -> &'static str {
         match self {
-            Stage::Whole => "whole",
+            Stage::Total => "whole",
             Stage::Offer => "offer",
             Stage::Queue => "queue",
             Stage::Upstream => "upstream",
@@ -210,7 +210,7 @@
 }
 
 /// A stage of a request for `service` took so long, in microseconds, and came out as `outcome`.
-pub fn took(stage: Stage, service: &Name, outcome: &'static str, us: u64) {
+pub fn record_latency(stage: Stage, service: &Name, outcome: &'static str, us: u64) {
     let seconds = us as f64 / SECOND as f64;
     let service = service.to_string();
     histogram!(LATENCY, "stage" => stage.as_str(), "service" => service, "outcome" => outcome)
@@ -218,6 +218,6 @@
 }
 
 /// Sets a gauge.
-pub fn set(name: &'static str, value: f64) {
+pub fn set_gauge(name: &'static str, value: f64) {
     gauge!(name).set(value);
 }
--- a/components/audit/src/store.rs
+++ b/components/audit/src/store.rs
@@ -5,12 +5,12 @@
 use era::{Era, Position};
 use errors::Error;
 use names::{Name, MILLISECOND};
-use platform::Stored;
+use platform::StoredObject;
 use std::collections::BTreeSet;
 
 /// The platform's store came back from an older copy since the era `before`, as its answer or `from` told. The
 /// declarations had been read up to `place`; this node's record is offered again in `offer_in_us`.
-pub fn store_came_back(
+pub fn store_restored(
     before: Era,
     era: Era,
     from: Option<&Name>,
@@ -40,7 +40,7 @@
 
 /// The store holds an older version of the declarations than is in force here: it came back from an older copy, or
 /// its answer lags.
-pub fn copy_is_older(version: u64, in_force: u64, era: Option<Era>) {
+pub fn store_has_older_version(version: u64, in_force: u64, era: Option<Era>) {
     if allowed(Kind::Declarations) {
         tracing::info!(
             version,
@@ -52,12 +52,12 @@
 }
 
 /// The VM was suspended, and is back. What was known before is older by that time, and deadlines have passed.
-pub fn suspended(us: u64) {
+pub fn vm_suspended(us: u64) {
     tracing::warn!(for_ms = us / 1_000, "the VM was suspended");
 }
 
 /// The records in the store were read.
-pub fn listed(count: usize, at: Position) {
+pub fn records_listed(count: usize, at: Position) {
     tracing::info!(
         count,
         at = at.revision,
@@ -68,7 +68,7 @@
 
 /// The operators' declarations were read from the store; reading them into this product's form took
 /// `translate_us`.
-pub fn declarations_read(version: u64, object: &Stored, translate_us: u64) {
+pub fn declarations_read(version: u64, object: &StoredObject, translate_us: u64) {
     tracing::info!(
         version,
         store_revision = object.revision,
@@ -79,7 +79,7 @@
 }
 
 /// An object of the store could not be read; what is in force stays.
-pub fn unreadable(object: &Stored, error: &Error) {
+pub fn object_unreadable(object: &StoredObject, error: &Error) {
     if allowed(Kind::Declarations) {
         tracing::warn!(
             name = %object.name,
--- a/components/audit/tests/startup_records.rs
+++ b/components/audit/tests/startup_records.rs
@@ -41,8 +41,8 @@
         nodes: 100,
         changes: 200,
     };
-    assert_eq!(records.count(), Some(arrived));
-    assert_eq!(records.count(), None, "the line is written once");
+    assert_eq!(records.finish_count(), Some(arrived));
+    assert_eq!(records.finish_count(), None, "the line is written once");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let mut records = StartupRecords::default();
     let before = record(1, 0, None);
     assert!(!records.has_own_line(&before, None));
-    records.count();
+    records.finish_count();
     let after = record(1, 1, Some(State::Ready));
     assert!(records.has_own_line(&after, Some(&before)));
 }
@@ -78,5 +78,5 @@
 
 #[test]
 fn a_node_that_hears_of_nobody_writes_no_line() {
-    assert_eq!(StartupRecords::default().count(), None);
+    assert_eq!(StartupRecords::default().finish_count(), None);
 }
--- a/components/daemon/src/boot_record.rs
+++ b/components/daemon/src/boot_record.rs
@@ -8,7 +8,7 @@
 use errors::{Error, Result, Step};
 use keys::{KeyHash, KEY_RETENTION_US};
 use names::{Moment, Name};
-use platform::Write;
+use platform::WriteOutcome;
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -68,8 +68,8 @@
         keys: used_keys(node),
     };
     match node.platform.write(&key, version, to_json(&record)).await? {
-        Write::Written => Ok(()),
-        Write::Conflict => Err(Error::new(Step::Platform, &key, "another boot wrote it")),
+        WriteOutcome::Written => Ok(()),
+        WriteOutcome::Conflict => Err(Error::new(Step::Platform, &key, "another boot wrote it")),
     }
 }
 
@@ -97,7 +97,7 @@
         None => (None, first_record(node)),
     };
     let written = node.platform.write(&key, version, to_json(&record)).await?;
-    if written == Write::Conflict {
+    if written == WriteOutcome::Conflict {
         return Err(Error::new(Step::Platform, &key, "written meanwhile"));
     }
     Ok(settle(node, record))
--- a/components/daemon/src/callers/admission.rs
+++ b/components/daemon/src/callers/admission.rs
@@ -35,7 +35,7 @@
     found.map_err(|barred| {
         let refusal = refusal(barred);
         let revision = in_force.configuration.head.revision;
-        audit::barred(&call.id, &refusal, revision, proof.age_us);
+        audit::request_denied(&call.id, &refusal, revision, proof.age_us);
         refusal
     })
 }
@@ -121,7 +121,7 @@
             in_force.is_some_and(|in_force| in_force.declarations.accounts.has_limits());
         let has_lent = has_limits && node.quotas.renew_leases(&peers);
         if has_limits {
-            stats::set("drumwheel_quota_part", node.quotas.share(node.now()));
+            stats::set_gauge("drumwheel_quota_part", node.quotas.share(node.now()));
         }
         task::sleep(if has_lent { LEND_EVERY } else { LEND_FIRST }).await;
     }
--- a/components/daemon/src/callers/returned.rs
+++ b/components/daemon/src/callers/returned.rs
@@ -41,7 +41,7 @@
         .borrow()
         .first_try(now, &request, deadline);
     if first.is_some() {
-        stats::caller_returned();
+        stats::caller_retried();
     }
     Some(Try {
         request,
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -208,17 +208,17 @@
     let deadline_ms = call.deadline_ms;
     let caller_told = told_caller(node, &call);
     let req = Arc::new(request(node, &service, call));
-    audit::routed(&Routed {
+    audit::request_routed(&Routed {
         req: &req,
         route,
         revision: in_force.configuration.head.revision,
         caller: caller_named(node).as_ref(),
-        caller_told: caller_told.as_deref(),
+        claimed_caller: caller_told.as_deref(),
         deadline_ms,
         since_first_try_ms: caller_try.map_or(0, |caller_try| {
             node.now().since(caller_try.first_at) / MILLISECOND
         }),
-        open: node.open_calls.get(),
+        calls_in_progress: node.open_calls.get(),
     });
     let suspect_order = match order_of(node, &req) {
         Ok(order) => order,
@@ -498,7 +498,7 @@
         None => RelayOutcome::Unknown(Reason::Lost),
     };
     let told = outcome_name(&outcome);
-    stats::took(Stage::Whole, &service, told, node.now().since(began));
+    stats::record_latency(Stage::Total, &service, told, node.now().since(began));
     outcome
 }
 
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -81,15 +81,15 @@
         Err(offered) => (None, offered),
     };
     let check_us = node.now().since(began);
-    stats::worked(Work::Check, check_us);
-    audit::revision_came(revision, bytes, &origin, &offered, check_us);
+    stats::record_declarations_work(Work::Check, check_us);
+    audit::revision_received(revision, bytes, &origin, &offered, check_us);
     match &offered {
         Offered::Taken => {
             if let Some(after) = node.in_force() {
                 node.fetch.borrow_mut().on_applied();
                 node.first_declarations.wake();
                 let age_us = node.watch.borrow().age_us(node.now());
-                audit::in_force(before.as_deref(), &after, age_us);
+                audit::revision_in_force(before.as_deref(), &after, age_us);
                 coordinator::record_former_groups(node, before.as_deref(), &after);
             }
             node.refresh_budget();
@@ -165,7 +165,7 @@
         .borrow_mut()
         .on_newer(now, from, standing, theirs.bytes_for(&mine));
     let missed = node.fetch.borrow().failures();
-    audit::newer_there(from, &mine, theirs, told, missed);
+    audit::peer_has_newer(from, &mine, theirs, told, missed);
     match told {
         Advice::Ask => reply.send(node, Frame::Want(known)),
         Advice::Read => {
--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -174,7 +174,7 @@
             continue;
         }
         is_news = true;
-        audit::suspected(suspect, standing, ends);
+        audit::suspect_recorded(suspect, standing, ends);
         apply(node, fingerprint, standing);
     }
     publish(node);
@@ -220,7 +220,7 @@
             (is_news, known.verdict(now, *fingerprint))
         };
         if is_news {
-            audit::held(*fingerprint, &record.vm, standing);
+            audit::request_quarantined(*fingerprint, &record.vm, standing);
             apply(node, *fingerprint, standing);
         }
         if is_news && standing == Verdict::Free {
@@ -307,8 +307,8 @@
 }
 
 fn after_clearing(node: &Rc<Node>, fingerprint: Fingerprint) {
-    audit::cleared(fingerprint);
-    stats::held(held_count(node));
+    audit::request_cleared(fingerprint);
+    stats::set_quarantined(held_count(node));
     for job in node.jobs.borrow_mut().values_mut() {
         if job.suspect && job.req.fingerprint() == fingerprint {
             job.suspect = false;
@@ -323,7 +323,7 @@
         task::sleep(FORGET_EVERY).await;
         let now = node.now();
         node.containment.known.borrow_mut().expire(now);
-        stats::held(held_count(&node));
+        stats::set_quarantined(held_count(&node));
         publish(&node);
     }
 }
@@ -341,7 +341,7 @@
     if standing != Verdict::Held {
         return;
     }
-    stats::held(held_count(node));
+    stats::set_quarantined(held_count(node));
     for id in copies {
         home_driver::withdraw(node, id, quarantine_refusal());
     }
--- a/components/daemon/src/containment/ends.rs
+++ b/components/daemon/src/containment/ends.rs
@@ -53,7 +53,7 @@
     if !is_known {
         let end = LastEnd { id, start, at };
         node.containment.last_end.set(Some(end));
-        stats::upstream_ended();
+        stats::upstream_terminated();
     }
     let suspects = suspects(node, id, at);
     if suspects.is_empty() {
@@ -61,7 +61,7 @@
     }
     // The next start has none of them.
     node.containment.cut_off.borrow_mut().clear();
-    audit::upstream_ended(instance, cause, &suspects);
+    audit::upstream_terminated(instance, cause, &suspects);
     let news: Vec<Suspect> = suspects.into_iter().map(|(_, suspect)| suspect).collect();
     learn(node, &news);
     tell(node, &Frame::Ended(news));
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -173,7 +173,7 @@
         };
         if let Some(hedge) = self.call.take_hedge() {
             stats::hedged(hedge.decision);
-            audit::hedged(&self.req.id, &hedge);
+            audit::hedge_decided(&self.req.id, &hedge);
         }
         let mut outcome = None;
         for action in actions {
@@ -226,7 +226,7 @@
             stats::repeat_offered();
         }
         let age_us = node.now().since(view.reported_at);
-        audit::offered(&self.req.id, &offer, &to, &view, age_us);
+        audit::request_offered(&self.req.id, &offer, &to, &view, age_us);
         self.attempts.push(id);
         let waiter = Waiter {
             tx: self.tx.clone(),
@@ -292,13 +292,13 @@
     let waiters = node.waiters.borrow();
     if let Some(waiter) = waiters.get(&id).filter(|_| !event.is_report()) {
         let took_us = node.now().since(waiter.offered_at);
-        stats::took(Stage::Offer, &waiter.service, event.as_str(), took_us);
+        stats::record_latency(Stage::Offer, &waiter.service, event.as_str(), took_us);
     }
     let delivered = waiters
         .get(&id)
         .is_some_and(|waiter| waiter.tx.try_send(event).is_ok());
     if !delivered {
-        stats::late("event");
+        stats::late_event("event");
         if let Some(refusal) = refusal {
             let mut entry = node.entry.borrow_mut();
             entry.on_late_refusal(node.now(), id, &refusal);
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -84,7 +84,7 @@
         return Verdict::Broken;
     }
     if is_cold(node) {
-        stats::upstream_fell();
+        stats::overload_crash();
     }
     containment::on_upstream_termination(node, broke.start, instance, broke.at, &broke.cause);
     Verdict::Ended
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -258,7 +258,7 @@
     take_in();
     let after_us = left_us();
     if (before_us > 0) != (after_us > 0) {
-        audit::cold(after_us, source);
+        audit::cold_state_changed(after_us, source);
     }
 }
 
@@ -325,7 +325,7 @@
         let suspended_before_us = std::mem::replace(&mut suspended_us, node.clock.suspended_us());
         let suspension_us = suspended_us.saturating_sub(suspended_before_us);
         if suspension_us > NOTED_SUSPENSION_US {
-            audit::suspended(suspension_us);
+            audit::vm_suspended(suspension_us);
         }
         let now = node.now();
         if node.was_paused() {
@@ -406,14 +406,14 @@
     let service = &job.req.service;
     let now = node.now();
     let waited_until = job.started_at.unwrap_or(now);
-    stats::took(
+    stats::record_latency(
         Stage::Queue,
         service,
         outcome,
         waited_until.since(job.arrived_at),
     );
     if let Some(started) = job.started_at {
-        stats::took(Stage::Upstream, service, outcome, now.since(started));
+        stats::record_latency(Stage::Upstream, service, outcome, now.since(started));
     }
 }
 
@@ -431,7 +431,7 @@
         .and_then(|job| fair_share_account(node, &job.req));
     let account_load = home.as_ref().map(|home| home.account_load(&account));
     let account = account.as_ref().zip(account_load);
-    audit::home(caller_id, id, decision, reason, load, pace_age_us, account);
+    audit::attempt_decided(caller_id, id, decision, reason, load, pace_age_us, account);
 }
 
 fn end_job(node: &Rc<Node>, id: AttemptId, frame: Frame) {
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::registration::{self, Registration};
 use async_std::future::timeout;
-use audit::stats::{self, Look};
+use audit::stats::{self, ProbeOutcome};
 use budget::Act;
 use home::ProbeResult;
 use names::MILLISECOND;
@@ -45,7 +45,7 @@
     };
     let now = node.now();
     if !node.gate.borrow_mut().spend(now, Act::PROBE) {
-        stats::looked(Look::Refused);
+        stats::probe_finished(ProbeOutcome::Refused);
         return ProbeResult::NoBudget;
     }
     let options = ExchangeOptions {
@@ -99,7 +99,7 @@
     if percent.is_none() && cold_us.is_none() {
         return failed("the answer names neither load nor cold");
     }
-    stats::looked(Look::Answered);
+    stats::probe_finished(ProbeOutcome::Answered);
     ProbeResult::Reported { percent, cold_us }
 }
 
@@ -113,7 +113,7 @@
 }
 
 fn failed(cause: &str) -> ProbeResult {
-    stats::looked(Look::Failed);
-    audit::look_failed(cause);
+    stats::probe_finished(ProbeOutcome::Failed);
+    audit::probe_failed(cause);
     ProbeResult::NoAnswer
 }
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -223,7 +223,7 @@
                 tx.try_send(()).ok();
             }
             Command::Release(released, tx) => {
-                audit::released(released.fingerprint, &released.who, &released.why);
+                audit::release_requested(released.fingerprint, &released.who, &released.why);
                 let was_known = containment::release(&node, released.fingerprint);
                 tx.try_send(was_known).ok();
             }
@@ -374,10 +374,10 @@
         ),
     ];
     for (name, value) in gauges {
-        audit::stats::set(name, value);
+        audit::stats::set_gauge(name, value);
     }
     if let Some(us) = state.confirmed_us_ago {
-        audit::stats::set("drumwheel_confirmed_seconds_ago", us as f64 / SECOND as f64);
+        audit::stats::set_gauge("drumwheel_confirmed_seconds_ago", us as f64 / SECOND as f64);
     }
 }
 
--- a/components/daemon/src/registration/door.rs
+++ b/components/daemon/src/registration/door.rs
@@ -144,7 +144,7 @@
             let now = node.now();
             let verdict = registration.local.borrow_mut().on_heartbeat(now, heartbeat);
             if verdict != HeartbeatOutcome::Taken(Change::None) {
-                audit::registered(&instance, sequence, verdict);
+                audit::upstream_registered(&instance, sequence, verdict);
             }
             let changed = matches!(
                 verdict,
@@ -156,9 +156,9 @@
             let doubted = verdict == HeartbeatOutcome::Doubted;
             (changed, Taken::acknowledged_unless(doubted))
         }
-        Told::Leaves(incarnation) => {
+        Told::Departure(incarnation) => {
             let farewell = registration.local.borrow_mut().on_departure(&incarnation);
-            audit::leaves(&incarnation, farewell);
+            audit::upstream_departing(&incarnation, farewell);
             let doubted = farewell == DepartureOutcome::Doubted;
             let changed = farewell == DepartureOutcome::Taken;
             (changed, Taken::acknowledged_unless(doubted))
@@ -189,6 +189,6 @@
     if !health::still_answers(node, &known).await {
         return None;
     }
-    audit::still_stands(&known, told);
+    audit::upstream_still_answers(&known, told);
     Some(Taken::NotBelieved)
 }
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -48,7 +48,7 @@
     match found {
         Ok(()) => {
             let taken = registration.local.borrow_mut().adopt(earlier.clone());
-            audit::found(&earlier, taken);
+            audit::upstream_found(&earlier, taken);
             if taken {
                 on_local_change(&node, &registration, PriorStarts::Until(node.started));
             }
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -138,7 +138,7 @@
     let beside = configured_upstream(node);
     let mismatch = beside.mismatch(told, declared);
     if let Some(mismatch) = mismatch {
-        audit::not_beside(told, &beside, mismatch, source);
+        audit::wrong_upstream(told, &beside, mismatch, source);
     }
     mismatch.is_none()
 }
@@ -206,7 +206,7 @@
         own.upstream = upstream;
         own.serving = serving;
     });
-    audit::own_record(&own);
+    audit::own_record_changed(&own);
     peers::announce(node, registration, &own);
     registration.request_write();
 }
@@ -217,7 +217,7 @@
         .fleet
         .borrow_mut()
         .change_own(|own| own.quarantined = held);
-    audit::own_record(&own);
+    audit::own_record_changed(&own);
     peers::announce(node, registration, &own);
     registration.request_write();
 }
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -15,7 +15,7 @@
 use errors::{Error, Result, Step};
 use futures_util::future::{select, Either};
 use names::Name;
-use platform::Put;
+use platform::PutOutcome;
 use rand::seq::IndexedRandom;
 use registry::Record;
 use std::pin::pin;
@@ -116,18 +116,20 @@
                 tracing::info!(vm = %record.vm, %error, "another node's record was not written");
             }
         }
-        audit::stored_for(&record);
+        audit::peer_record_offered(&record);
     });
 }
 
 async fn write_for(node: &Rc<Node>, registration: &Registration, record: &Record) -> Result<()> {
-    let kind = registration.adapter.records();
+    let kind = registration.adapter.record_kind();
     let store = registration.adapter.store();
     let vm = record.vm.as_str();
     let value =
         serde_json::to_vec(record).map_err(|error| Error::new(Step::Platform, vm, error))?;
     let create = store.put(kind, vm, None, &value);
-    let Put::Conflict(Some(object)) = platform_call(node, Purpose::OwnRecord, create).await? else {
+    let PutOutcome::Conflict(Some(object)) =
+        platform_call(node, Purpose::OwnRecord, create).await?
+    else {
         return Ok(());
     };
     if decode(&object).is_ok_and(|found| found.version >= record.version) {
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -118,7 +118,7 @@
                 return;
             };
             let mut startup_records = registration.startup_records.borrow_mut();
-            startup_records.record_taken(after, before.as_ref());
+            startup_records.record_applied(after, before.as_ref());
             drop(startup_records);
             let after_record = after.clone();
             let moved = before
@@ -164,14 +164,14 @@
         MergeOutcome::OwnConflict(version) => {
             containment::adopt_predecessor_record(node, registration, &offered);
             let own = registration.fleet.borrow_mut().supersede(version);
-            audit::own_record(&own);
+            audit::own_record_changed(&own);
             announce(node, registration, &own);
             registration.request_write();
             if let Some(earlier) = earlier {
                 local::spawn(health::find(node.clone(), registration.clone(), earlier));
             }
         }
-        MergeOutcome::ImplausibleVersion => audit::unreachable(&offered),
+        MergeOutcome::ImplausibleVersion => audit::implausible_record(&offered),
         MergeOutcome::Same => {}
     }
 }
@@ -183,7 +183,7 @@
     let Some(known) = known else {
         return;
     };
-    audit::differs(&known, &offered);
+    audit::record_conflict(&known, &offered);
     let vm = offered.vm.clone();
     for record in [known, offered] {
         links::send(node, &vm, &Frame::Registered(Box::new(record)));
@@ -308,7 +308,7 @@
 async fn log_startup_records(node: Rc<Node>, registration: Rc<Registration>) {
     let until = node.started + STARTUP_RECORDS_US;
     task::sleep(Duration::from_micros(until.since(node.now()))).await;
-    registration.startup_records.borrow_mut().end();
+    registration.startup_records.borrow_mut().finish();
 }
 
 /// Tells what this node knows to one node of its hall and, now and then, to a contact in another.
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -16,7 +16,7 @@
 use async_std::task;
 use audit::Purpose;
 use errors::{Error, Result, Step};
-use platform::{Put, Reading, Stored};
+use platform::{Consistency, PutOutcome, StoredObject};
 use quarantine::Fingerprint;
 use rand::Rng;
 use registry::{Incarnation, Instance, Record, State};
@@ -104,7 +104,7 @@
 pub async fn read_quarantined(node: &Rc<Node>, registration: &Rc<Registration>) {
     // What stands there of this node is known from its own writes.
     let mut stands = Stands::default();
-    if let Err(error) = list(node, registration, &mut stands, Reading::Newest).await {
+    if let Err(error) = list(node, registration, &mut stands, Consistency::Latest).await {
         tracing::info!(%error, "the store did not say which requests are held");
     }
 }
@@ -121,7 +121,7 @@
         // A record that names requests which are held stays, for those who start later.
         return;
     }
-    let kind = registration.adapter.records();
+    let kind = registration.adapter.record_kind();
     let store = registration.adapter.store();
     let remove = store.remove(kind, node.cfg.vm.as_str());
     match timeout(limit, platform_call(node, Purpose::OwnRecord, remove)).await {
@@ -149,7 +149,7 @@
 /// Reads the others' records until the store has answered or another node has told them.
 async fn learn(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
     let mut pause = MIN_PAUSE_MS;
-    while let Err(error) = list(node, registration, stands, Reading::MayLag).await {
+    while let Err(error) = list(node, registration, stands, Consistency::MayLag).await {
         set_reachable(node, false);
         tracing::info!(%error, "the store gave no records");
         pause = back_off(pause).await;
@@ -185,17 +185,17 @@
     node: &Rc<Node>,
     registration: &Rc<Registration>,
     stands: &mut Stands,
-    reading: Reading,
+    consistency: Consistency,
 ) -> Result<()> {
-    let kind = registration.adapter.records();
-    let list = registration.adapter.store().list(kind, reading);
+    let kind = registration.adapter.record_kind();
+    let list = registration.adapter.store().list(kind, consistency);
     let listing = platform_call(node, Purpose::Fleet, list).await?;
-    audit::listed(listing.objects.len(), listing.at);
+    audit::records_listed(listing.objects.len(), listing.at);
     for object in &listing.objects {
         let record = match decode(object) {
             Ok(record) => record,
             Err(error) => {
-                audit::unreadable(object, &error);
+                audit::object_unreadable(object, &error);
                 continue;
             }
         };
@@ -250,7 +250,7 @@
     registration: &Rc<Registration>,
     stands: &mut Stands,
 ) -> Result<()> {
-    let kind = registration.adapter.records();
+    let kind = registration.adapter.record_kind();
     let store = registration.adapter.store();
     loop {
         let own = registration.fleet.borrow().own().clone();
@@ -262,13 +262,13 @@
             registration.eras.borrow_mut().write_unanswered(node.now());
         }
         match put? {
-            Put::Done(at) => {
+            PutOutcome::Written(at) => {
                 stands.wrote(at.revision, &own);
                 offer::done(node, registration, at.era);
                 return Ok(());
             }
-            Put::Conflict(None) => stands.revision = None,
-            Put::Conflict(Some(object)) => {
+            PutOutcome::Conflict(None) => stands.revision = None,
+            PutOutcome::Conflict(Some(object)) => {
                 stands.revision = Some(object.revision);
                 match decode(&object) {
                     Ok(found) => {
@@ -283,7 +283,7 @@
                         }
                     }
                     // Another writer's: it is written over.
-                    Err(error) => audit::unreadable(&object, &error),
+                    Err(error) => audit::object_unreadable(&object, &error),
                 }
             }
         }
@@ -291,7 +291,7 @@
 }
 
 impl Stands {
-    fn of(object: &Stored, record: &Record) -> Stands {
+    fn of(object: &StoredObject, record: &Record) -> Stands {
         let mut stands = Stands::default();
         stands.wrote(object.revision, record);
         stands
@@ -310,7 +310,7 @@
     let own = registration.fleet.borrow().own().version;
     if earlier.version >= own {
         let own = registration.fleet.borrow_mut().supersede(earlier.version);
-        audit::own_record(&own);
+        audit::own_record_changed(&own);
         peers::announce(node, registration, &own);
     }
     if let Some(upstream) = earlier.upstream {
@@ -319,7 +319,7 @@
 }
 
 /// The record that stands in an object of its VM's name.
-pub(super) fn decode(object: &Stored) -> Result<Record> {
+pub(super) fn decode(object: &StoredObject) -> Result<Record> {
     let bad = |cause: String| Error::new(Step::Platform, &object.name, cause);
     let record: Record =
         serde_json::from_slice(&object.value).map_err(|error| bad(error.to_string()))?;
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -103,7 +103,7 @@
         .get(&id)
         .is_some_and(|(tx, _)| tx.try_send(relayed).is_ok());
     if !delivered {
-        stats::late("relay");
+        stats::late_event("relay");
     }
 }
 
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -70,17 +70,17 @@
     match seen {
         EraOrder::Same | EraOrder::Earlier => {}
         EraOrder::First => {
-            registration.adapter.store().know(era);
-            stats::set("drumwheel_store_era", era.0 as f64);
+            registration.adapter.store().observe_era(era);
+            stats::set_gauge("drumwheel_store_era", era.0 as f64);
             tracing::info!(%era, "the store's era is known");
         }
         EraOrder::Later { from: before } => {
-            registration.adapter.store().know(era);
-            stats::set("drumwheel_store_era", era.0 as f64);
-            stats::store_came_back();
+            registration.adapter.store().observe_era(era);
+            stats::set_gauge("drumwheel_store_era", era.0 as f64);
+            stats::store_restored();
             let offer_at = registration.eras.borrow().offer_at();
             let wait_us = offer_at.map_or(0, |at| at.since(node.now()));
-            audit::store_came_back(before, era, from, place, wait_us);
+            audit::store_restored(before, era, from, place, wait_us);
             // What was confirmed before says nothing of what the store holds now.
             node.watch.borrow_mut().clear_confirmation();
             tell(node, registration, from);
--- a/components/daemon/src/straggling.rs
+++ b/components/daemon/src/straggling.rs
@@ -45,7 +45,7 @@
     let run_times = home.as_ref().and_then(|home| home.run_times(now, id));
     drop(home);
     let (ran_us, usual_us) = run_times.unwrap_or_default();
-    audit::straggles(&caller_id, id, ran_us, usual_us, &node.load());
-    stats::straggled();
+    audit::straggler_detected(&caller_id, id, ran_us, usual_us, &node.load());
+    stats::straggler_reported();
     reply.send_best_effort(node, Frame::Straggles { id });
 }
--- a/components/daemon/src/upstream_notices.rs
+++ b/components/daemon/src/upstream_notices.rs
@@ -36,7 +36,7 @@
     }
     let is_news = registration.local.borrow_mut().on_drain(incarnation);
     if is_news {
-        audit::leaving_noticed(incarnation, &node.cfg.vm);
+        audit::drain_advertised(incarnation, &node.cfg.vm);
         registration::on_local_change(node, registration, PriorStarts::None);
     }
 }
@@ -49,7 +49,7 @@
     let mut fleet = registration.fleet.borrow_mut();
     let is_news = fleet.set_upstream_draining(vm, incarnation);
     if is_news && *vm != node.cfg.vm {
-        audit::leaving_noticed(incarnation, vm);
+        audit::drain_advertised(incarnation, vm);
     }
 }
 
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -13,7 +13,7 @@
 use errors::Result;
 use evacuation::Evacuated;
 use names::Name;
-use platform::{Reading, Watched};
+use platform::{Consistency, WatchOutcome};
 use std::rc::Rc;
 use std::time::Duration;
 use wire::Frame;
@@ -33,14 +33,14 @@
     let Some(after) = as_of.filter(|as_of| as_of.era == era) else {
         return list(node, &registration).await;
     };
-    let kind = registration.adapter.evacuations();
+    let kind = registration.adapter.evacuation_kind();
     let watch = registration.adapter.store();
     let watch = watch.watch(kind, after.revision, wait);
     let watched = platform_call(node, Purpose::Watch, watch).await?;
     if registration.eras.borrow().known() != after.era {
         return list(node, &registration).await;
     }
-    let Watched::Changes {
+    let WatchOutcome::Changes {
         at,
         changed,
         removed,
@@ -61,8 +61,8 @@
 }
 
 async fn list(node: &Rc<Node>, registration: &Rc<Registration>) -> Result<()> {
-    let kind = registration.adapter.evacuations();
-    let list = registration.adapter.store().list(kind, Reading::Newest);
+    let kind = registration.adapter.evacuation_kind();
+    let list = registration.adapter.store().list(kind, Consistency::Latest);
     let listing = platform_call(node, Purpose::Evacuations, list).await?;
     let told = Evacuated {
         as_of: listing.at,
@@ -104,7 +104,7 @@
         let evacuations = registration.evacuations.borrow();
         let halls = evacuations.halls(now);
         audit::halls_evacuated(&halls, evacuations.as_of(), from);
-        stats::set("drumwheel_halls_evacuated", halls.len() as f64);
+        stats::set_gauge("drumwheel_halls_evacuated", halls.len() as f64);
     }
     home_driver::update_drain_state(node);
     let frame = Frame::Summary(node.summary());
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -139,7 +139,7 @@
     let (kind, _) = registration.adapter.declarations();
     let rollout = node.rollout.borrow();
     registration.updates_in_progress.get() > 0
-        || registration.adapter.store().receives(kind)
+        || registration.adapter.store().has_partial_answer(kind)
         || rollout.newest_revision() > rollout.revision()
 }
 
@@ -156,7 +156,9 @@
 /// Answers of the platform of which a part has come.
 fn receiving(node: &Node) -> u32 {
     let registration = node.registration.as_ref();
-    registration.map_or(0, |registration| registration.adapter.store().receiving())
+    registration.map_or(0, |registration| {
+        registration.adapter.store().partial_answers()
+    })
 }
 
 /// Ends once two answers arrive at the same time.
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -12,7 +12,7 @@
 use audit::Purpose;
 use era::{Era, Position};
 use errors::{catch_panic, Error, Result, Step};
-use platform::{Reading, Stored, Watched};
+use platform::{Consistency, StoredObject, WatchOutcome};
 use rollout::{Change, UncheckedRevision};
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,8 +27,8 @@
     let place = registration.eras.borrow().position();
     let after = match (place, manner) {
         (Some(after), Manner::Now | Manner::Wait) => after,
-        (None, Manner::Now | Manner::Wait) => return list(node, Reading::Newest).await,
-        (_, Manner::Start) => return list(node, Reading::MayLag).await,
+        (None, Manner::Now | Manner::Wait) => return list(node, Consistency::Latest).await,
+        (_, Manner::Start) => return list(node, Consistency::MayLag).await,
     };
     let wait = match manner {
         Manner::Wait => WATCH,
@@ -40,21 +40,21 @@
     let watched = platform_call(node, Purpose::Watch, watch).await?;
     if registration.eras.borrow().known() != after.era {
         // The revision from which it went on stands for something else in the present era.
-        return list(node, Reading::Newest).await;
+        return list(node, Consistency::Latest).await;
     }
     match watched {
-        Watched::Changes { at, changed, .. } => {
+        WatchOutcome::Changes { at, changed, .. } => {
             take_all(node, &registration, &changed, at.era).await;
             registration.eras.borrow_mut().read_up_to(at);
             if !changed.is_empty() && manner == Manner::Wait {
                 task::sleep(PAUSE).await;
             }
         }
-        Watched::Forgotten => {
+        WatchOutcome::HistoryLost => {
             tracing::info!(after = after.revision, "the declarations are read anew");
             registration.eras.borrow_mut().forget_position();
             if manner == Manner::Now {
-                list(node, Reading::Newest).await?;
+                list(node, Consistency::Latest).await?;
             }
         }
     }
@@ -65,23 +65,26 @@
 /// yet takes an answer that may lag, which costs a tenth; what it misses it is told by others.
 pub async fn read_declarations(node: &Rc<Node>) -> Result<()> {
     if node.rollout.borrow().newest_revision() == 0 {
-        list(node, Reading::MayLag).await?;
+        list(node, Consistency::MayLag).await?;
         if node.rollout.borrow().newest_revision() > 0 {
             return Ok(());
         }
     }
-    list(node, Reading::Newest).await
+    list(node, Consistency::Latest).await
 }
 
-async fn list(node: &Rc<Node>, reading: Reading) -> Result<()> {
+async fn list(node: &Rc<Node>, consistency: Consistency) -> Result<()> {
     let registration = registration(node)?;
     let (kind, _) = registration.adapter.declarations();
-    let list = registration.adapter.store().list(kind, reading);
+    let list = registration.adapter.store().list(kind, consistency);
     let listing = platform_call(node, Purpose::Declarations, list).await?;
     // An answer that lags may hold what a return has lost, and belongs to no era.
-    let era = listing.at.era.filter(|_| reading == Reading::Newest);
+    let era = listing
+        .at
+        .era
+        .filter(|_| consistency == Consistency::Latest);
     take_all(node, &registration, &listing.objects, era).await;
-    if reading == Reading::Newest {
+    if consistency == Consistency::Latest {
         // Noted only once everything up to there is taken in: a call may be given up in between, and what it brought
         // would be asked for by nobody.
         registration.eras.borrow_mut().read_up_to(listing.at);
@@ -98,7 +101,7 @@
 async fn take_all(
     node: &Rc<Node>,
     registration: &Registration,
-    objects: &[Stored],
+    objects: &[StoredObject],
     era: Option<Era>,
 ) {
     let _taking_in = CountGuard::new(&registration.updates_in_progress);
@@ -110,16 +113,16 @@
         let written = match translated.and_then(|written| written) {
             Ok(written) => written,
             Err(error) => {
-                audit::unreadable(object, &error);
+                audit::object_unreadable(object, &error);
                 continue;
             }
         };
         let translate_us = node.now().since(began);
-        stats::worked(Work::Translate, translate_us);
+        stats::record_declarations_work(Work::Translate, translate_us);
         audit::declarations_read(written.version, object, translate_us);
         let in_force = node.rollout.borrow().revision();
         if written.version < in_force {
-            audit::copy_is_older(written.version, in_force, era);
+            audit::store_has_older_version(written.version, in_force, era);
             continue;
         }
         let read = Position {
@@ -142,7 +145,7 @@
 
 /// The audit record of what the platform's operators wrote. Every node makes the same of the same, so that nodes can
 /// compare.
-fn change(written: &platform::Written) -> Change {
+fn change(written: &platform::TranslatedDeclarations) -> Change {
     Change {
         id: format!("platform-{}", written.version),
         who: "platform".to_string(),
--- a/components/explain/tests/accounts.rs
+++ b/components/explain/tests/accounts.rs
@@ -31,7 +31,7 @@
         ..Load::default()
     };
     let decision = reason.map_or("queued", |_| "refused");
-    audit::home(id, attempt, decision, reason, load, None, account);
+    audit::attempt_decided(id, attempt, decision, reason, load, None, account);
 }
 
 #[test]
--- a/components/operator/src/change.rs
+++ b/components/operator/src/change.rs
@@ -1,6 +1,6 @@
 //! Carries out the decisions of [`rollout::Apply`] against the platform.
 
-use platform::{Client, Write};
+use platform::{Client, WriteOutcome};
 use rollout::{content_key, Apply, ApplyAction, ApplyEvent, ApplyOutcome, Plan, HEAD_KEY};
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
 
 async fn write(client: &Client, key: &str, version: Option<u64>, bytes: Vec<u8>) -> ApplyEvent {
     match client.write(key, version, bytes).await {
-        Ok(Write::Written) => ApplyEvent::Written,
-        Ok(Write::Conflict) => ApplyEvent::Conflict,
+        Ok(WriteOutcome::Written) => ApplyEvent::Written,
+        Ok(WriteOutcome::Conflict) => ApplyEvent::Conflict,
         Err(_) => ApplyEvent::NoAnswer,
     }
 }
--- a/components/operator/src/lib.rs
+++ b/components/operator/src/lib.rs
@@ -5,5 +5,5 @@
 mod read;
 
 pub use change::apply;
-pub use nodes::{drain, push, release, status, HeldRequest, NodeStatus, Release};
+pub use nodes::{drain, push, release, status, NodeStatus, QuarantinedRequest, Release};
 pub use read::{configuration, head, history, vms};
--- a/components/operator/src/nodes.rs
+++ b/components/operator/src/nodes.rs
@@ -40,7 +40,7 @@
     pub limit: u32,
     /// Requests that no upstream sees.
     #[serde(default)]
-    pub held: Vec<HeldRequest>,
+    pub held: Vec<QuarantinedRequest>,
 }
 
 /// A request that an operator frees, and the entry in the audit trail.
@@ -56,7 +56,7 @@
 
 /// A request that the nodes hold.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HeldRequest {
+pub struct QuarantinedRequest {
     /// The request's fingerprint.
     pub fingerprint: String,
     /// Ends of upstreams under it that the node knows of.
--- a/components/platform/src/client.rs
+++ b/components/platform/src/client.rs
@@ -28,7 +28,7 @@
 
 /// What became of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Write {
+pub enum WriteOutcome {
     /// It took effect.
     Written,
     /// Its condition did not hold.
@@ -86,7 +86,12 @@
     }
 
     /// Writes an object if it has version `version`; `None`: if it does not exist.
-    pub async fn write(&self, key: &str, version: Option<u64>, value: Vec<u8>) -> Result<Write> {
+    pub async fn write(
+        &self,
+        key: &str,
+        version: Option<u64>,
+        value: Vec<u8>,
+    ) -> Result<WriteOutcome> {
         let path = format!("/v1/objects/{key}");
         if value.len() > MAX_VALUE_BYTES {
             let cause = format!(
@@ -103,8 +108,8 @@
         req.set_body(value);
         let res = self.call(req, CALL_TIMEOUT).await?;
         match res.status() {
-            StatusCode::Ok | StatusCode::Created => Ok(Write::Written),
-            StatusCode::PreconditionFailed => Ok(Write::Conflict),
+            StatusCode::Ok | StatusCode::Created => Ok(WriteOutcome::Written),
+            StatusCode::PreconditionFailed => Ok(WriteOutcome::Conflict),
             status => Err(self.refused(&path, status)),
         }
     }
--- a/components/platform/src/lib.rs
+++ b/components/platform/src/lib.rs
@@ -8,7 +8,8 @@
 mod client;
 mod store;
 
-pub use client::{Client, Object, Write};
+pub use client::{Client, Object, WriteOutcome};
 pub use store::{
-    Adapter, Call, Listing, Put, Reading, Registration, Store, Stored, Watched, Written,
+    Adapter, Consistency, Listing, PutOutcome, Registration, Store, StoreCall, StoredObject,
+    TranslatedDeclarations, WatchOutcome,
 };
--- a/components/platform/src/store.rs
+++ b/components/platform/src/store.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// The end of a call to the store.
-pub type Call<'a, T> = Pin<Box<dyn Future<Output = Result<T>> + 'a>>;
+pub type StoreCall<'a, T> = Pin<Box<dyn Future<Output = Result<T>> + 'a>>;
 
 /// An object as it stands in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredObject {
     /// Its name within its kind.
     pub name: Name,
     /// Revision of its last change.
@@ -26,9 +26,9 @@
 
 /// How new an answer has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum Consistency {
     /// As of now.
-    Newest,
+    Latest,
     /// It may be seconds old, and costs the platform less: for what other nodes put right. A watch must
     /// not begin at its revision.
     MayLag,
@@ -40,40 +40,45 @@
     /// Where the store stood when they were listed.
     pub at: Position,
     /// The objects.
-    pub objects: Vec<Stored>,
+    pub objects: Vec<StoredObject>,
 }
 
 /// What came of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchOutcome {
     /// Changes, in their order; none when the wait is over.
     Changes {
         /// Where the next watch begins.
         at: Position,
         /// Objects that were written.
-        changed: Vec<Stored>,
+        changed: Vec<StoredObject>,
         /// Objects that were there and are no more.
         removed: Vec<Name>,
     },
     /// The store no longer knows what changed since; all objects have to be listed again.
-    Forgotten,
+    HistoryLost,
 }
 
 /// What came of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// It took effect, at this place.
-    Done(Position),
+    Written(Position),
     /// The condition did not hold: the object as it stands, or none when it doesn't exist.
-    Conflict(Option<Stored>),
+    Conflict(Option<StoredObject>),
 }
 
 /// A store. Every call has a time limit of its own, and fails if its answer is of an earlier era than is known.
 pub trait Store {
     /// Lists all objects of a kind.
-    fn list<'a>(&'a self, kind: &'a str, reading: Reading) -> Call<'a, Listing>;
+    fn list<'a>(&'a self, kind: &'a str, consistency: Consistency) -> StoreCall<'a, Listing>;
     /// Waits up to `wait` for changes of a kind after the revision `after`.
-    fn watch<'a>(&'a self, kind: &'a str, after: u64, wait: Duration) -> Call<'a, Watched>;
+    fn watch<'a>(
+        &'a self,
+        kind: &'a str,
+        after: u64,
+        wait: Duration,
+    ) -> StoreCall<'a, WatchOutcome>;
     /// Creates an object (`revision` none), or replaces the one that has `revision`.
     fn put<'a>(
         &'a self,
@@ -81,19 +86,19 @@
         name: &'a str,
         revision: Option<u64>,
         value: &'a [u8],
-    ) -> Call<'a, Put>;
+    ) -> StoreCall<'a, PutOutcome>;
     /// Removes an object.
-    fn remove<'a>(&'a self, kind: &'a str, name: &'a str) -> Call<'a, ()>;
+    fn remove<'a>(&'a self, kind: &'a str, name: &'a str) -> StoreCall<'a, ()>;
     /// The highest era that an answer or another node told of; none where the store tells none.
     fn era(&self) -> Option<Era>;
     /// Another node told of `era`: answers of an earlier one are errors from now on.
-    fn know(&self, era: Era);
+    fn observe_era(&self, era: Era);
     /// Calls made so far.
     fn calls(&self) -> u64;
     /// Answers of which a part has come, and the end has not.
-    fn receiving(&self) -> u32;
+    fn partial_answers(&self) -> u32;
     /// Whether one of them is about objects of a kind.
-    fn receives(&self, kind: &str) -> bool;
+    fn has_partial_answer(&self, kind: &str) -> bool;
 }
 
 /// What an upstream tells the node beside it.
@@ -102,12 +107,12 @@
     /// It runs.
     Heartbeat(Heartbeat),
     /// This start ends soon.
-    Leaves(Incarnation),
+    Departure(Incarnation),
 }
 
 /// Declarations as the platform's operators write them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Written {
+pub struct TranslatedDeclarations {
     /// Rises with each change.
     pub version: u64,
     /// The same in this product's own form.
@@ -121,11 +126,11 @@
     /// Kind and name of the object that holds the operators' declarations.
     fn declarations(&self) -> (&str, &str);
     /// Translates that object; an error names what is wrong with it.
-    fn translate(&self, value: &[u8]) -> Result<Written>;
+    fn translate(&self, value: &[u8]) -> Result<TranslatedDeclarations>;
     /// Kind of the objects by which operators evacuate data halls; each is named as its hall.
-    fn evacuations(&self) -> &str;
+    fn evacuation_kind(&self) -> &str;
     /// Kind of the objects in which nodes keep their records.
-    fn records(&self) -> &str;
+    fn record_kind(&self) -> &str;
     /// Reads what an upstream sent to its node; an error names what is wrong with it.
     fn registration(&self, method: &str, target: &str, body: &[u8]) -> Result<Registration>;
 }
