--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! Exchanges with the upstream beside this node, over connections kept open.
+//! HTTP exchanges with the local upstream, over a pool of keep-alive connections.
 
 use async_std::future::timeout;
 use async_std::io::{ErrorKind, ReadExt, WriteExt};
@@ -15,62 +15,64 @@
 use std::time::Duration;
 use wire::{Answer, Request};
 
-/// Longest wait for a new connection to the upstream, which is on this VM.
+/// Timeout of a connect to the upstream, which is on the same VM.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for the word that nothing stands at the upstream's address, which its VM gives at once.
+/// Timeout of a connect that checks whether the upstream's port is closed. The VM refuses such a
+/// connection immediately.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
-/// A process that ends has closed a connection that was taken meanwhile within this time. A request whose exchange
-/// broke for another reason is repeated so much later.
-const CLOSING: Duration = Duration::from_millis(20);
-/// Looks at an upstream that closes what it takes, and the pause between them.
-const CLOSING_LOOKS: u32 = 5;
-const CLOSING_PAUSE: Duration = Duration::from_millis(4);
-/// Idle connections older than this are closed rather than used, unless the upstream names a time.
+/// Time within which a terminating process closes a connection that it has just accepted. A request
+/// whose exchange broke for another reason is repeated later by this time.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(20);
+/// Maximum number of checks of an upstream that closes accepted connections, and the pause between
+/// two of them.
+const MAX_CLOSE_CHECKS: u32 = 5;
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(4);
+/// Connections that have been idle for longer are closed instead of reused, unless the upstream sends
+/// `Keep-Alive`.
 const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// Part of the time named by `Keep-Alive` for which a connection is used: the upstream's clock for
-/// it starts a little earlier than ours.
-const KEEP_ALIVE_PART: f64 = 0.7;
-/// A request that may run only once is not sent over a connection idle for longer: the upstream may
-/// have dropped it without a word, and what became of the request could not be known.
-const UNREPEATABLE_IDLE: Duration = Duration::from_millis(1_500);
-/// Largest head of an answer, in bytes.
+/// Fraction of the `Keep-Alive` timeout for which a connection is reused: the upstream starts its
+/// timer slightly earlier than this node.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
+/// Requests that may run only once are not sent over connections that have been idle for longer: the
+/// upstream may have dropped the connection without closing it, and the outcome of the request
+/// would be unknown.
+const UNREPEATABLE_IDLE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 32_000;
-/// Answers to earlier requests that are skipped on one connection before it is given up.
-const MAX_SURPLUS: usize = 4;
+/// Maximum number of responses to earlier requests that are skipped on one connection.
+const MAX_SKIPPED_RESPONSES: usize = 4;
 
-/// How an exchange failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// No byte of the request reached the upstream.
+    /// No byte of the request was sent to the upstream.
     NotSent(Error),
-    /// The upstream may have run the request; there is no whole answer.
+    /// The upstream may have run the request, but there is no complete response.
     Broken(Error),
 }
 
-/// What an exchange needs beside the request.
+/// What an exchange needs in addition to the request.
 #[derive(Debug, Default)]
 pub struct ExchangeOptions<'a> {
-    /// Headers set by this node, in place of the caller's.
+    /// Headers set by this node. They replace headers of the caller with the same name.
     pub headers: Vec<(&'a str, String)>,
-    /// Header by which an answer repeats the request's identity, and the identity.
+    /// Header in which a response repeats the request's ID, and the ID.
     pub request_id: Option<(&'a str, &'a str)>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
-/// What a connection that failed to open says of the port.
+/// State of the upstream's port, as inferred from a failed connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PortState {
-    /// Nobody listens there.
+    /// No process listens on it.
     Closed,
-    /// Whoever listened is closing it: a connection that waits to be taken then is reset.
+    /// The listening socket is being closed, which resets connections that wait to be accepted.
     Closing,
-    /// Nothing.
+    /// The error does not tell.
     Unknown,
 }
 
 impl PortState {
-    /// Reads the error with which a connection failed to open.
     pub fn from_connect_error(kind: ErrorKind) -> PortState {
         match kind {
             ErrorKind::ConnectionRefused => PortState::Closed,
@@ -87,21 +89,23 @@
     connection: Connection<TcpStream>,
 }
 
-/// Connections to one upstream.
+/// Keep-alive connections to one upstream.
 #[derive(Debug)]
 pub struct Pool {
     clock: Clock,
     address: Cell<SocketAddr>,
     max_body_bytes: usize,
+    /// Idle connections to keep.
     warm: Cell<usize>,
     close_delimited: CloseDelimited,
     idle: RefCell<Vec<Idle>>,
-    /// Starts of the upstream so far: what is open to an earlier one is never used for a later one.
+    /// Incarnations of the upstream so far. A connection to an earlier one is never reused for a
+    /// later one.
     incarnation_count: Cell<u64>,
 }
 
 impl Pool {
-    /// A pool with no connection yet, which keeps up to `warm` idle ones.
+    /// Creates an empty pool that keeps up to `warm` idle connections.
     pub fn new(
         address: SocketAddr,
         warm: usize,
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Takes in that another run of the upstream stands beside this node.
+    /// Switches to a new incarnation of the upstream. Idle connections to the previous one are dropped.
     pub fn upstream_replaced(&self, address: SocketAddr, warm: usize) {
         self.address.set(address);
         self.warm.set(warm);
@@ -132,7 +136,7 @@
         self.incarnation_count.set(self.incarnation_count.get() + 1);
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn exchange(
         &self,
         req: &Request,
@@ -141,66 +145,68 @@
         let bytes = request_bytes(req, options);
         let incarnation = self.incarnation_count.get();
         let mut connection = self
-            .take(options.repeatable)
+            .acquire(options.repeatable)
             .await
             .map_err(Failure::NotSent)?;
         let writer = connection.stream().clone();
-        let answered = {
+        let outcome = {
             let writing = pin!(write_all(writer, &bytes));
-            let reading = pin!(self.read_answer(&mut connection, req, options));
+            let reading = pin!(self.read_response(&mut connection, req, options));
             match select(writing, reading).await {
                 Either::Left((Ok(()), reading)) => (reading.await, true),
                 Either::Left((Err((0, error)), _)) => {
                     let error = Error::new(Step::Upstream, self.address.get(), error);
                     return Err(Failure::NotSent(error));
                 }
-                // What was sent may have run; an answer may be there all the same.
+                // The upstream may have run the request anyway, and may have responded.
                 Either::Left((Err(_), reading)) => (reading.await, false),
-                // An answer before the whole request was sent: what follows on the connection would
-                // be taken for the rest of the body.
-                Either::Right((answered, _)) => (answered, false),
+                // The response arrived before the request was sent completely. The upstream would take
+                // the next request on this connection for the rest of the body.
+                Either::Right((result, _)) => (result, false),
             }
         };
-        let (answered, whole) = answered;
-        let (answer, reusable) = answered.map_err(|error| self.broken(error))?;
-        if whole && !connection.has_bytes() && self.incarnation_count.get() == incarnation {
-            if let Some(usable_for) = reusable {
-                self.put_back(connection, usable_for);
+        let (result, is_fully_sent) = outcome;
+        let (answer, reusable_for) = result.map_err(|error| self.broken(error))?;
+        if is_fully_sent && !connection.has_bytes() && self.incarnation_count.get() == incarnation {
+            if let Some(usable_for) = reusable_for {
+                self.release(connection, usable_for);
             }
         }
         Ok(answer)
     }
 
-    /// Opens connections until as many are idle as should be kept.
+    /// Opens connections until there are as many idle ones as the pool keeps.
     pub async fn warm_up(&self) {
         while self.idle.borrow().len() < self.warm.get() {
             let Ok(stream) = self.connect().await else {
                 return;
             };
-            self.put_back(Connection::new(stream), IDLE_LIMIT);
+            self.release(Connection::new(stream), IDLE_LIMIT);
         }
     }
 
-    /// Whether a connection can be opened.
     pub async fn can_connect(&self) -> bool {
         self.connect().await.is_ok()
     }
 
-    /// Starts of the upstream so far.
     pub fn incarnation_count(&self) -> u64 {
         self.incarnation_count.get()
     }
 
-    /// Whether the upstream has ended: a connection to it is refused. One that is not answered says nothing, since a
-    /// paused upstream does not answer either. A process that ends closes its connections one after the other, and
-    /// its port among them: a connection that is taken and closed at once is looked into again.
+    /// Whether the upstream has terminated, that is, refuses connections. A connect that times out proves
+    /// nothing, since a paused upstream does not respond either. A terminating process closes its
+    /// sockets one after the other, the listening socket among them: if a connection is accepted and
+    /// closed immediately, the check is repeated.
     pub async fn has_terminated(&self) -> bool {
-        for _ in 0..CLOSING_LOOKS {
+        for _ in 0..MAX_CLOSE_CHECKS {
             let connecting = TcpStream::connect(self.address.get());
             match timeout(REFUSAL_TIMEOUT, connecting).await {
                 Ok(Ok(mut stream)) => {
                     let mut byte = [0];
-                    if timeout(CLOSING, stream.read(&mut byte)).await.is_err() {
+                    if timeout(CLOSE_TIMEOUT, stream.read(&mut byte))
+                        .await
+                        .is_err()
+                    {
                         return false;
                     }
                 }
@@ -211,55 +217,58 @@
                 },
                 Err(_) => return false,
             }
-            task::sleep(CLOSING_PAUSE).await;
+            task::sleep(CLOSE_CHECK_INTERVAL).await;
         }
         false
     }
 
-    /// The answer to this request, and for how long the connection may be used again. Answers that
-    /// name another request are surplus ones of earlier requests and belong to nobody.
-    async fn read_answer(
+    /// Reads the response to this request. Also returns for how long the connection may be reused.
+    /// Responses with the ID of another request are left over from earlier requests and are skipped.
+    async fn read_response(
         &self,
         connection: &mut Connection<TcpStream>,
         req: &Request,
         options: &ExchangeOptions<'_>,
     ) -> std::result::Result<(Answer, Option<Duration>), Fault> {
-        for _ in 0..=MAX_SURPLUS {
+        for _ in 0..=MAX_SKIPPED_RESPONSES {
             let head = connection.response_head(MAX_HEAD_BYTES).await?;
             let framing = response_framing(&req.method, &head, self.close_delimited)?;
             let body = connection.body(framing, self.max_body_bytes as u64).await?;
-            if is_foreign(&head, options) {
-                tracing::info!(status = head.status, "skipped a surplus answer");
+            if is_for_other_request(&head, options) {
+                tracing::info!(
+                    status = head.status,
+                    "skipped a response to an earlier request"
+                );
                 continue;
             }
-            let reusable = usable_for(&head, framing);
-            return Ok((answer(head, framing, body), reusable));
+            let reusable_for = usable_for(&head, framing);
+            return Ok((answer(head, framing, body), reusable_for));
         }
         Err(Fault::Malformed(
-            "only answers to other requests".to_string(),
+            "received only responses to other requests".to_string(),
         ))
     }
 
-    /// An idle connection that is open and clean, or a new one.
-    async fn take(&self, repeatable: bool) -> Result<Connection<TcpStream>> {
+    /// Returns an idle connection that is open and has no unread bytes, or opens a new one.
+    async fn acquire(&self, repeatable: bool) -> Result<Connection<TcpStream>> {
         loop {
             let idle = self.idle.borrow_mut().pop();
             let Some(idle) = idle else {
                 return Ok(Connection::new(self.connect().await?));
             };
-            let most = if repeatable {
+            let limit = if repeatable {
                 idle.usable_for
             } else {
-                idle.usable_for.min(UNREPEATABLE_IDLE)
+                idle.usable_for.min(UNREPEATABLE_IDLE_LIMIT)
             };
             let age_us = self.clock.now().since(idle.since);
-            if Duration::from_micros(age_us) < most && is_quiet(&idle.connection) {
+            if Duration::from_micros(age_us) < limit && is_reusable(&idle.connection) {
                 return Ok(idle.connection);
             }
         }
     }
 
-    fn put_back(&self, connection: Connection<TcpStream>, usable_for: Duration) {
+    fn release(&self, connection: Connection<TcpStream>, usable_for: Duration) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < self.warm.get().max(1) {
             idle.push(Idle {
@@ -275,7 +284,7 @@
         let fail = |error: String| Error::new(Step::Connect, address, error);
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_| fail("no connection in time".to_string()))?
+            .map_err(|_| fail("connect timed out".to_string()))?
             .map_err(|error| fail(error.to_string()))?;
         stream
             .set_nodelay(true)
@@ -288,7 +297,7 @@
     }
 }
 
-/// Writes all of `bytes`; an error comes with the number of bytes that were taken before it.
+/// Writes all of `bytes`. An error comes with the number of bytes that were written before it.
 async fn write_all(
     mut stream: TcpStream,
     bytes: &[u8],
@@ -308,7 +317,7 @@
         let mut set = options.headers.iter();
         set.any(|(other, _)| name.eq_ignore_ascii_case(other))
     };
-    let passed = req
+    let forwarded = req
         .headers
         .iter()
         .filter(|(name, _)| !is_set(name))
@@ -317,22 +326,23 @@
         .headers
         .iter()
         .map(|(name, value)| (*name, value.as_str()));
-    let empty = matches!(req.method.as_str(), "POST" | "PUT" | "PATCH");
+    let declare_empty = matches!(req.method.as_str(), "POST" | "PUT" | "PATCH");
     http1::request_bytes(
         &req.method,
         &req.target,
-        passed.chain(set),
+        forwarded.chain(set),
         &req.body,
-        empty,
+        declare_empty,
     )
 }
 
-/// Whether an answer names another request. One that names none can't be told apart.
-fn is_foreign(head: &ResponseHead, options: &ExchangeOptions<'_>) -> bool {
+/// Whether a response carries the ID of another request. Without an ID it counts as the response to
+/// this request.
+fn is_for_other_request(head: &ResponseHead, options: &ExchangeOptions<'_>) -> bool {
     let Some((name, id)) = options.request_id else {
         return false;
     };
-    http1::header_value(&head.headers, name).is_some_and(|given| given != id)
+    http1::header_value(&head.headers, name).is_some_and(|received| received != id)
 }
 
 fn answer(head: ResponseHead, framing: Framing, body: Vec<u8>) -> Answer {
@@ -354,7 +364,7 @@
     }
 }
 
-/// For how long the connection may carry another request; none when it may not.
+/// How long the connection may be reused; `None` if it must be closed.
 fn usable_for(head: &ResponseHead, framing: Framing) -> Option<Duration> {
     let connection = http1::header_value(&head.headers, "connection").unwrap_or_default();
     let closes = connection
@@ -363,13 +373,13 @@
     if closes || framing == Framing::UntilClose {
         return None;
     }
-    let named = http1::header_value(&head.headers, "keep-alive").and_then(keep_alive_seconds);
-    Some(named.map_or(IDLE_LIMIT, |seconds| {
-        Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_PART)
+    let keep_alive = http1::header_value(&head.headers, "keep-alive").and_then(keep_alive_seconds);
+    Some(keep_alive.map_or(IDLE_LIMIT, |seconds| {
+        Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_FRACTION)
     }))
 }
 
-/// The time in `Keep-Alive`: `timeout=10` or just `10`.
+/// Reads the timeout of a `Keep-Alive` header: `timeout=10` or just `10`.
 fn keep_alive_seconds(text: &str) -> Option<u64> {
     text.split(',').find_map(|part| {
         let part = part.trim();
@@ -377,8 +387,8 @@
     })
 }
 
-/// Whether an idle connection is open and has nothing to read.
-fn is_quiet(connection: &Connection<TcpStream>) -> bool {
+/// Whether an idle connection is still open and has no unread bytes.
+fn is_reusable(connection: &Connection<TcpStream>) -> bool {
     use std::os::fd::{AsRawFd, BorrowedFd};
     if connection.has_bytes() {
         return false;
--- a/components/upstream/tests/ends.rs
+++ b/components/upstream/tests/ends.rs
@@ -1,4 +1,4 @@
-//! How the end of an upstream is told from the end of one exchange.
+//! Detection of a terminated upstream after a failed exchange.
 
 use async_std::task::block_on;
 use std::io::ErrorKind;
@@ -7,10 +7,11 @@
 
 const MAX_BODY_BYTES: usize = 1_000;
 
-/// A connection that was reset while an ending upstream closed its port passed for one broken exchange: the request that had
-/// ended it was given to the next upstream.
+/// A terminating upstream may reset a connection while it closes its listening socket. When the reset
+/// counted as one broken exchange, the request that had terminated the upstream was offered to the
+/// next one.
 #[test]
-fn a_connection_that_is_reset_as_the_port_closes_is_looked_into_again() {
+fn connect_errors_tell_the_state_of_the_port() {
     assert_eq!(
         PortState::from_connect_error(ErrorKind::ConnectionReset),
         PortState::Closing
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn an_upstream_whose_port_is_closed_has_ended_and_one_that_says_nothing_has_not() {
+fn upstream_with_a_closed_port_has_terminated_but_an_unresponsive_one_has_not() {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.local_addr().expect("its address");
     let pool = Pool::new(address, 1, MAX_BODY_BYTES, true);
