--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames.
+//! Frames: the messages between nodes after the handshake.
 
 use crate::http::{Answer, Request};
 use errors::{Error, Result, Step};
@@ -13,24 +13,24 @@
 use std::sync::Arc;
 use watch::WatchNotice;
 
-/// Bytes that a frame may have beyond the body it carries.
+/// Maximum size of a frame beyond the body that it carries, in bytes.
 pub const MAX_FRAME_OVERHEAD: usize = 64 * 1024;
 
-/// The outcome of a relayed request.
+/// Outcome of a relayed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayOutcome {
-    /// The whole answer.
+    /// The complete answer.
     Answered(Arc<Answer>),
-    /// Not run anywhere, and never will be.
+    /// No upstream has run the request, and none will.
     NotRun(Refusal),
-    /// It may have run.
+    /// An upstream may have run the request.
     Unknown(Reason),
 }
 
 /// A message between two nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Entry to home: run this.
+    /// Entry to home: run this request.
     Offer {
         /// The offer.
         offer: Offer,
@@ -39,23 +39,23 @@
         /// The request.
         req: Arc<Request>,
     },
-    /// Home to entry: not run, and never will be.
+    /// Home to entry: the attempt has not run and never will.
     Refused {
         /// The attempt.
         id: AttemptId,
-        /// Why, and when to come back.
+        /// The reason, and when to try again.
         refusal: Refusal,
         /// State of the upstream.
         load: Load,
     },
-    /// Home to entry: handed back from the queue, not run.
+    /// Home to entry: the attempt was removed from the queue without having run.
     Revoked {
         /// The attempt.
         id: AttemptId,
         /// State of the upstream.
         load: Load,
     },
-    /// Home to entry: the whole answer.
+    /// Home to entry: the complete answer.
     Answered {
         /// The attempt.
         id: AttemptId,
@@ -63,76 +63,76 @@
         answer: Arc<Answer>,
         /// State of the upstream.
         load: Load,
-        /// The start of the upstream that gave the answer, if it says that it leaves.
+        /// Incarnation of the upstream that gave the answer, if it reports that it is draining.
         #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
         leaving: Option<Incarnation>,
     },
-    /// Home to entry: the run takes much longer than usual.
+    /// Home to entry: the attempt runs for much longer than is typical.
     Straggles {
         /// The attempt.
         id: AttemptId,
     },
-    /// Home to entry: it ran, and there is no whole answer.
+    /// Home to entry: the attempt has run, and there is no complete answer.
     Broken {
         /// The attempt.
         id: AttemptId,
         /// State of the upstream.
         load: Load,
-        /// What follows for the request where the upstream has ended.
+        /// The suspicion against the request, if the upstream has terminated.
         ended: Option<Suspect>,
     },
-    /// Home to all: the upstream ended while it ran these requests.
+    /// Home to all: the upstream terminated while it ran these requests.
     Ended(Vec<Suspect>),
-    /// To all: nothing is to be feared of the request.
+    /// To all: the request is not harmful.
     Cleared {
         /// The request.
         fingerprint: Fingerprint,
-        /// Whether it has run to a good end; otherwise an operator says so.
+        /// Whether it has completed; otherwise an operator has released it.
         ran: bool,
     },
-    /// Entry to home: what became of this attempt? If it has not started, it never will.
+    /// Entry to home: query about an attempt. If the attempt has not started, it never will.
     Ask {
         /// The attempt.
         id: AttemptId,
-        /// Boot of the home node to which it was offered; another boot knows nothing of it.
+        /// Boot of the home node to which it was offered; other boots have no record of it.
         boot: BootId,
     },
-    /// Home to entry: the answer to [`Frame::Ask`].
+    /// Home to entry: the reply to [`Frame::Ask`].
     Told {
         /// The attempt.
         id: AttemptId,
-        /// What is known.
+        /// What the home duty knows of the attempt.
         reply: QueryReply<Arc<Answer>>,
     },
-    /// Entry to home: nobody waits for this attempt.
+    /// Entry to home: no call waits for this attempt any more.
     Cancel {
         /// The attempt.
         id: AttemptId,
     },
-    /// Are you there? Passes the measuring budget.
+    /// Asks the receiver for a sign of life. Counts against the measuring budget.
     Heartbeat,
-    /// Yes.
+    /// The reply to [`Frame::Heartbeat`].
     Alive {
         /// State of the upstream.
         load: Load,
     },
-    /// The sender's upstream is leaving, or stays after all.
+    /// The sender's upstream is draining, or has ended its drain.
     Leaving {
-        /// Whether it leaves.
+        /// Whether it is draining.
         leaving: bool,
     },
-    /// Coordinator to home: nobody but me may run this key there.
+    /// Coordinator to home: claims an idempotency key; no other coordinator may have it run there.
     Claim {
-        /// Identity of the question.
+        /// ID of the query.
         id: AttemptId,
         /// The key.
         key: KeyHash,
     },
-    /// Home to coordinator: the answer to [`Frame::Claim`].
+    /// Home to coordinator: the reply to [`Frame::Claim`].
     Claimed {
-        /// Identity of the question.
+        /// ID of the query.
         id: AttemptId,
-        /// The answer.
+        /// The reply.
         reply: ClaimReply<Arc<Answer>>,
     },
     /// Coordinator to home: the key was not run and is free again.
@@ -142,24 +142,24 @@
         /// The key.
         key: KeyHash,
     },
-    /// A new boot to the other nodes of its groups: which keys do you know, and no longer take any
-    /// from my predecessor.
+    /// A new boot to the other nodes of its groups: asks for the keys that they know. They accept no
+    /// further key from the sender's previous boots.
     Recover {
-        /// Identity of the question.
+        /// ID of the query.
         id: AttemptId,
     },
-    /// The answer to [`Frame::Recover`].
+    /// The reply to [`Frame::Recover`].
     Recovered {
-        /// Identity of the question.
+        /// ID of the query.
         id: AttemptId,
-        /// Every key that the sender knows; none when it can't say.
+        /// All keys that the sender knows; `None` if it can't list them all.
         keys: Option<Vec<KeyHash>>,
-        /// For how long there may be others that the sender doesn't know, in microseconds.
+        /// For how long there may be further keys that the sender doesn't know, in microseconds.
         uncertain_us: u64,
     },
-    /// Entry to the coordinator of an idempotency key: carry this request through.
+    /// Entry to the coordinator of an idempotency key: take over this request.
     Relay {
-        /// Identity of the relay.
+        /// ID of the relayed request.
         id: AttemptId,
         /// Time left until the caller's deadline, in microseconds.
         remaining_us: u64,
@@ -167,7 +167,7 @@
         waited_us: u64,
         /// The idempotency key.
         key: String,
-        /// Priority from the policy.
+        /// Priority assigned by the policy.
         priority: u8,
         /// Revision by which the sender chose the coordinator.
         revision: u64,
@@ -176,45 +176,45 @@
     },
     /// Coordinator to entry: the outcome.
     Relayed {
-        /// Identity of the relay.
+        /// ID of the relayed request.
         id: AttemptId,
         /// The outcome.
         outcome: RelayOutcome,
     },
-    /// A node's record of itself and of the upstream beside it.
+    /// A node's record of itself and of its local upstream.
     Registered(Box<Record>),
-    /// To a node that reaches the platform's store: write this record of the sender there.
+    /// To a node that can reach the platform's store: write this record of the sender to it.
     Store(Box<Record>),
-    /// The digest of the records that the sender knows; a receiver that knows others answers with the
+    /// Digest of the records that the sender knows. A receiver with another digest replies with the
     /// digests of its buckets.
     RecordsDigest(u64),
-    /// The digests of the buckets of records that the sender knows; the receiver answers with the versions
-    /// of its records where they differ.
+    /// Digests of the sender's buckets of records. The receiver replies with the versions of its records
+    /// in the buckets that differ.
     RecordBuckets(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The versions of the records that the sender knows in some buckets; the receiver answers with those
-    /// that the sender lacks.
+    /// Versions of the sender's records in some buckets. The receiver replies with the records that the
+    /// sender lacks.
     RecordVersions(Versions),
-    /// Records that the receiver was found to lack.
+    /// Records that the receiver lacks.
     Records(Vec<Record>),
-    /// What the sender knows. A receiver that knows something newer answers with its own summary, one that
-    /// lacks something asks for it when it wants it from this node.
+    /// Summary of what the sender knows. A receiver that knows something newer replies with its own
+    /// summary. One that lacks something requests it, if it has selected this node to fetch it from.
     Summary(Summary),
-    /// What the sender says of its own calls to the platform, and what it knows.
+    /// Keep-alive notice of a watcher, and a summary of what it knows.
     Watch {
-        /// What it says.
+        /// What the sender reports of its own calls to the platform.
         #[serde(rename = "w")]
         notice: WatchNotice,
-        /// What it knows.
+        /// Summary of what the sender knows.
         #[serde(rename = "k")]
         summary: Summary,
     },
-    /// What the sender knows; the receiver answers with the content of what is newer.
+    /// Request for everything newer than this summary of the sender. The receiver replies with the content.
     Want(Summary),
-    /// A revision with its content.
+    /// A revision of the declarations with its content.
     Configuration(Arc<Configuration>),
-    /// The platform's list.
+    /// The platform's list of VMs.
     Vms(Arc<VmList>),
-    /// Shares and tokens of limited client accounts.
+    /// Leases and tokens of client accounts with a rate limit.
     Quota(quota::Message),
 }
 
@@ -262,13 +262,11 @@
 /// A frame with its send time on the sender's monotonic clock, in microseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope<F> {
-    /// When it was sent.
     pub sent_us: u64,
-    /// The frame.
     pub frame: F,
 }
 
-/// Encodes a frame that is sent now.
+/// Encodes a frame that is sent at `sent_us`.
 pub fn encode(sent_us: u64, frame: &Frame) -> Vec<u8> {
     let mut buf = Vec::with_capacity(512);
     let envelope = Envelope { sent_us, frame };
@@ -276,7 +274,7 @@
     buf
 }
 
-/// Decodes a frame that came from `peer`.
+/// Decodes a frame received from `peer`.
 pub fn decode(peer: &str, bytes: &[u8]) -> Result<Envelope<Frame>> {
     ciborium::from_reader(bytes).map_err(|error| Error::new(Step::Frame, peer, error))
 }
--- a/components/wire/src/handshake.rs
+++ b/components/wire/src/handshake.rs
@@ -1,8 +1,8 @@
-//! How two nodes prove to each other that they belong to the fleet.
+//! Mutual authentication of two nodes of the fleet.
 //!
-//! Both hold the fleet's key. Each sends a random nonce and proves by HMAC-SHA-256 over both
-//! nonces, both names and both boots that it holds the key. A stranger learns nothing it could use
-//! again. The cost is one round trip and two HMACs for each connection, not for each frame.
+//! Both hold the fleet's key. Each sends a random nonce and proves that it holds the key by an
+//! HMAC-SHA-256 over both nonces, both names and both boots. An attacker can't reuse the proof on
+//! another connection. The cost is one round trip and two HMACs per connection, not per frame.
 
 use errors::{Error, Result, Step};
 use hmac::{Hmac, Mac};
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// Version of the frames; both sides must have the same.
+/// Version of the frames. Both sides must use the same.
 pub const PROTOCOL_VERSION: u32 = 7;
 
 /// First message, from the side that connects.
@@ -23,7 +23,7 @@
     pub vm: Name,
     /// The sender's boot.
     pub boot: BootId,
-    /// Drawn at random for this connection.
+    /// Random number for this connection.
     pub nonce: u64,
 }
 
@@ -49,15 +49,15 @@
 #[derive(Debug, Clone)]
 pub struct Handshake {
     key: Vec<u8>,
-    mine: Hello,
+    own: Hello,
 }
 
 impl Handshake {
-    /// A handshake of the process `vm`, `boot` with the fleet's key.
+    /// Creates the handshake of the node on `vm` in its run `boot`, with the fleet's key.
     pub fn new(key: &str, vm: Name, boot: BootId, nonce: u64) -> Handshake {
         Handshake {
             key: key.as_bytes().to_vec(),
-            mine: Hello {
+            own: Hello {
                 version: PROTOCOL_VERSION,
                 vm,
                 boot,
@@ -66,32 +66,32 @@
         }
     }
 
-    /// The first message.
+    /// Returns the first message.
     pub fn hello(&self) -> Hello {
-        self.mine.clone()
+        self.own.clone()
     }
 
-    /// The accepting side's answer to `hello`.
+    /// Returns the accepting side's reply to `hello`.
     pub fn welcome(&self, hello: &Hello) -> Result<Welcome> {
         check_version(hello)?;
         Ok(Welcome {
-            hello: self.mine.clone(),
-            proof: self.prove("accept", hello, &self.mine),
+            hello: self.own.clone(),
+            proof: self.prove("accept", hello, &self.own),
         })
     }
 
-    /// The connecting side checks `welcome` and gives its own proof.
+    /// Checks `welcome` on the connecting side and returns that side's proof.
     pub fn prove_to(&self, welcome: &Welcome) -> Result<Proof> {
         check_version(&welcome.hello)?;
-        self.verify("accept", &self.mine, &welcome.hello, &welcome.proof)?;
+        self.verify("accept", &self.own, &welcome.hello, &welcome.proof)?;
         Ok(Proof {
-            proof: self.prove("connect", &self.mine, &welcome.hello),
+            proof: self.prove("connect", &self.own, &welcome.hello),
         })
     }
 
-    /// The accepting side checks the proof of the side that sent `hello`.
+    /// Checks on the accepting side the proof of the peer that sent `hello`.
     pub fn check(&self, hello: &Hello, proof: &Proof) -> Result<()> {
-        self.verify("connect", hello, &self.mine, &proof.proof)
+        self.verify("connect", hello, &self.own, &proof.proof)
     }
 
     fn prove(&self, role: &str, connect: &Hello, accept: &Hello) -> Vec<u8> {
@@ -102,19 +102,19 @@
     }
 
     fn verify(&self, role: &str, connect: &Hello, accept: &Hello, proof: &[u8]) -> Result<()> {
-        let other = if connect == &self.mine {
+        let peer = if connect == &self.own {
             accept
         } else {
             connect
         };
         self.mac(role, connect, accept)
             .verify_slice(proof)
-            .map_err(|_| Error::new(Step::Handshake, &other.vm, "does not hold the fleet's key"))
+            .map_err(|_| Error::new(Step::Handshake, &peer.vm, "does not hold the fleet's key"))
     }
 
     fn mac(&self, role: &str, connect: &Hello, accept: &Hello) -> Hmac<Sha256> {
         let mut mac =
-            Hmac::<Sha256>::new_from_slice(&self.key).expect("HMAC takes a key of any length");
+            Hmac::<Sha256>::new_from_slice(&self.key).expect("HMAC accepts keys of any length");
         mac.update(role.as_bytes());
         for hello in [connect, accept] {
             mac.update(&hello.version.to_le_bytes());
@@ -132,20 +132,19 @@
         return Ok(());
     }
     let cause = format!(
-        "speaks version {}, this node speaks {PROTOCOL_VERSION}",
+        "uses protocol version {}, this node uses {PROTOCOL_VERSION}",
         hello.version
     );
     Err(Error::new(Step::Handshake, &hello.vm, cause))
 }
 
-/// Encodes a handshake message.
 pub fn encode_message(message: &impl Serialize) -> Vec<u8> {
     let mut buf = Vec::new();
     ciborium::into_writer(message, &mut buf).expect("a handshake message always encodes");
     buf
 }
 
-/// Decodes a handshake message that came from `peer`.
+/// Decodes a handshake message received from `peer`.
 pub fn decode_message<T: DeserializeOwned>(peer: &str, bytes: &[u8]) -> Result<T> {
     ciborium::from_reader(bytes).map_err(|error| Error::new(Step::Handshake, peer, error))
 }
--- a/components/wire/src/http.rs
+++ b/components/wire/src/http.rs
@@ -1,16 +1,16 @@
-//! Whole requests and answers, as nodes pass them on.
+//! Complete requests and responses, as nodes forward them.
 
 use names::Name;
 use quarantine::Fingerprint;
 use serde::{Deserialize, Serialize};
 
-/// A whole request of a caller.
+/// A complete request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Service it is for.
+    /// Service that the request is for.
     #[serde(rename = "s")]
     pub service: Name,
-    /// HTTP method, as it came.
+    /// HTTP method as received.
     #[serde(rename = "m")]
     pub method: String,
     /// Path and query.
@@ -19,22 +19,21 @@
     /// End-to-end headers.
     #[serde(rename = "h")]
     pub headers: Vec<(String, String)>,
-    /// The whole body.
     #[serde(rename = "b")]
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// How many services the call has passed, 0 for an outside caller.
+    /// Call depth: number of services that the call has passed; 0 for an external caller.
     #[serde(rename = "l")]
     pub level: u32,
-    /// Identity that the caller gave its try; `-` for none.
+    /// ID that the caller gave this try; `-` for none.
     pub id: String,
-    /// Client account in whose name it runs; none where none is needed.
+    /// Client account for which the request runs; `None` if no account is needed.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub account: Option<Name>,
 }
 
 impl Request {
-    /// What copies of this request have in common.
+    /// Fingerprint of the request; it is the same for all copies.
     pub fn fingerprint(&self) -> Fingerprint {
         let is_host = |name: &str| name.eq_ignore_ascii_case("host");
         let host = self.headers.iter().find(|(name, _)| is_host(name));
@@ -43,29 +42,28 @@
     }
 }
 
-/// A whole answer of an upstream.
+/// A complete HTTP response of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     #[serde(rename = "s")]
     pub status: u16,
-    /// Reason phrase, as the upstream gave it.
+    /// Reason phrase as received from the upstream.
     #[serde(rename = "r")]
     pub reason: String,
     /// End-to-end headers.
     #[serde(rename = "h")]
     pub headers: Vec<(String, String)>,
-    /// The whole body.
     #[serde(rename = "b")]
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// Length that a `HEAD` answer declares for the body it leaves out.
+    /// `Content-Length` of a response to `HEAD`, which omits the body.
     #[serde(rename = "l")]
     pub head_length: Option<u64>,
 }
 
 impl Answer {
-    /// Whether the upstream reports an error of its own.
+    /// Whether the status reports an error of the server.
     pub fn is_error(&self) -> bool {
         self.status >= 500
     }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes, their encoding, and the proof that a peer belongs to the fleet.
+//! Frames between nodes, their encoding, and the authentication of peers.
 
 mod frame;
 mod handshake;
--- a/components/wire/tests/wire.rs
+++ b/components/wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames and handshakes, whole and malformed.
+//! Encoding of frames and handshakes, with valid and malformed input.
 
 use home::{Load, Offer};
 use names::{AttemptId, BootId};
@@ -43,62 +43,62 @@
     }
 }
 
-fn handshakes(key: &str, other: &str) -> (Handshake, Handshake) {
+fn handshakes(key_of_a: &str, key_of_b: &str) -> (Handshake, Handshake) {
     (
-        Handshake::new(key, "a".into(), BootId(1), 11),
-        Handshake::new(other, "b".into(), BootId(2), 22),
+        Handshake::new(key_of_a, "a".into(), BootId(1), 11),
+        Handshake::new(key_of_b, "b".into(), BootId(2), 22),
     )
 }
 
 #[test]
-fn a_frame_comes_back_as_it_was_sent() {
+fn frame_is_decoded_as_it_was_encoded() {
     let frame = offer(vec![0, 255, 10]);
-    let envelope = decode("peer", &encode(42, &frame)).expect("it decodes");
+    let envelope = decode("peer", &encode(42, &frame)).expect("a valid frame");
     assert_eq!(envelope.sent_us, 42);
     assert_eq!(envelope.frame, frame);
 }
 
 #[test]
-fn a_body_costs_its_length_and_little_more() {
+fn body_is_encoded_with_little_overhead() {
     let empty = encode(0, &offer(Vec::new())).len();
     let full = encode(0, &offer(vec![200; 10_000])).len();
     assert!(full - empty <= 10_000 + 8);
 }
 
 #[test]
-fn an_error_of_decoding_names_the_step_and_the_peer() {
-    let error = decode("10.0.0.7:80", b"\xff").expect_err("no frame");
+fn decode_error_names_the_step_and_the_peer() {
+    let error = decode("10.0.0.7:80", b"\xff").expect_err("an invalid frame");
     assert!(error.to_string().starts_with("frame with 10.0.0.7:80: "));
 }
 
 #[test]
-fn two_nodes_with_the_same_key_admit_each_other() {
+fn nodes_with_the_same_key_authenticate_each_other() {
     let (a, b) = handshakes("the key of the fleet", "the key of the fleet");
-    let welcome = b.welcome(&a.hello()).expect("a hello");
-    let proof = a.prove_to(&welcome).expect("a welcome");
-    b.check(&a.hello(), &proof).expect("a proof");
+    let welcome = b.welcome(&a.hello()).expect("a valid hello");
+    let proof = a.prove_to(&welcome).expect("a valid welcome");
+    b.check(&a.hello(), &proof).expect("a valid proof");
 }
 
 #[test]
-fn a_stranger_is_found_out_by_either_side() {
+fn either_side_rejects_a_peer_without_the_key() {
     let (a, b) = handshakes("the key of the fleet", "another key");
-    let welcome = b.welcome(&a.hello()).expect("a hello");
+    let welcome = b.welcome(&a.hello()).expect("a valid hello");
     assert!(a.prove_to(&welcome).is_err());
     let (a, b) = handshakes("the key of the fleet", "the key of the fleet");
-    let welcome = b.welcome(&a.hello()).expect("a hello");
-    let mut proof = a.prove_to(&welcome).expect("a welcome");
+    let welcome = b.welcome(&a.hello()).expect("a valid hello");
+    let mut proof = a.prove_to(&welcome).expect("a valid welcome");
     proof.proof[0] ^= 1;
     assert!(b.check(&a.hello(), &proof).is_err());
 }
 
 #[test]
-fn a_proof_can_not_be_used_for_another_connection_or_turned_round() {
+fn proof_can_not_be_replayed_or_reflected() {
     let key = "the key of the fleet";
     let (a, b) = handshakes(key, key);
-    let welcome = b.welcome(&a.hello()).expect("a hello");
-    let proof = a.prove_to(&welcome).expect("a welcome");
-    let again = Handshake::new(key, "b".into(), BootId(2), 23);
-    assert!(again.check(&a.hello(), &proof).is_err());
+    let welcome = b.welcome(&a.hello()).expect("a valid hello");
+    let proof = a.prove_to(&welcome).expect("a valid welcome");
+    let replayed_to = Handshake::new(key, "b".into(), BootId(2), 23);
+    assert!(replayed_to.check(&a.hello(), &proof).is_err());
     let reflected = Welcome {
         hello: welcome.hello.clone(),
         proof: proof.proof.clone(),
@@ -107,28 +107,33 @@
 }
 
 #[test]
-fn a_peer_of_another_version_is_refused_by_name() {
+fn peer_with_another_protocol_version_is_rejected() {
     let (a, b) = handshakes("k", "k");
     let hello = Hello {
         version: 99,
         ..a.hello()
     };
     let error = b.welcome(&hello).expect_err("another version");
-    assert!(error.to_string().contains("speaks version 99"), "{error}");
+    assert!(
+        error
+            .to_string()
+            .contains("uses protocol version 99, this node uses"),
+        "{error}"
+    );
 }
 
 proptest! {
     #![proptest_config(fuzzing::config(CASES))]
 
     #[test]
-    fn any_bytes_decode_or_fail_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         decode("peer", &bytes).ok();
         decode_message::<Hello>("peer", &bytes).ok();
         decode_message::<Welcome>("peer", &bytes).ok();
     }
 
     #[test]
-    fn a_frame_with_damaged_bytes_decodes_or_fails_without_a_panic(
+    fn decoding_a_damaged_frame_does_not_panic(
         at in 0..200usize,
         byte in any::<u8>(),
         cut in 0..200usize,
@@ -142,14 +147,14 @@
     }
 
     #[test]
-    fn every_load_survives_the_way(
+    fn load_is_decoded_as_it_was_encoded(
         in_flight in any::<u32>(),
         service_us in any::<u64>(),
         leaving in any::<bool>(),
     ) {
         let load = Load { in_flight, service_us, leaving, ..Load::default() };
         let frame = Frame::Alive { load };
-        let envelope = decode("peer", &encode(0, &frame)).expect("it decodes");
+        let envelope = decode("peer", &encode(0, &frame)).expect("a valid frame");
         prop_assert_eq!(envelope.frame, frame);
     }
 }
