--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,8 +1,9 @@
-//! The only clock of the node.
+//! The only clock of the node. It counts suspensions of the VM.
 //!
-//! Ages, deadlines and leases are told by the time since the VM started, suspensions included. The steady clock of
-//! the standard library stands still while a VM is suspended, as do the runtime's timers: knowledge would look as
-//! young as before, and a deadline would pass late by the whole suspension.
+//! Ages, deadlines and leases are measured by the time since the VM started, including suspensions.
+//! The monotonic clock of the standard library stops while a VM is suspended, as do the timers of the
+//! runtime: data would appear younger than it is, and a deadline would pass too late by the whole
+//! suspension.
 
 use async_std::future::{timeout, TimeoutError};
 use names::{Moment, SECOND};
@@ -11,46 +12,44 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Nanoseconds in a microsecond.
-const NANOS: u64 = 1_000;
-/// Time between two looks at the clock by who waits for a deadline: so much later than the deadline a wait may end
-/// after a suspension.
+const NANOS_PER_MICRO: u64 = 1_000;
+/// Interval at which a wait compares its deadline with the clock. After a suspension, a wait may end
+/// this much later than its deadline.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time since the start of the process, suspensions of the VM included.
+/// Measures the time since the start of the process, including suspensions of the VM.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Time since the start of the VM, in microseconds, when the process started.
+    /// Time from the start of the VM to the start of the process.
     start_us: u64,
-    /// The part of it for which the VM was suspended.
-    suspended_us: u64,
+    /// The part of that time for which the VM was suspended.
+    suspended_at_start_us: u64,
 }
 
 impl Clock {
-    /// A clock that starts now.
     pub fn start() -> Clock {
         Clock {
             start_us: vm_uptime_us(),
-            suspended_us: suspended_us(),
+            suspended_at_start_us: suspended_us(),
         }
     }
 
-    /// The present moment; never 0, so that 0 can stand for "never".
+    /// The current time; never 0, so that 0 can mean "never".
     pub fn now(&self) -> Moment {
         Moment(vm_uptime_us().saturating_sub(self.start_us) + 1)
     }
 
-    /// For how long the VM was suspended since the start of the process, in microseconds.
+    /// For how long the VM was suspended since the start of the process.
     pub fn suspended_us(&self) -> u64 {
-        suspended_us().saturating_sub(self.suspended_us)
+        suspended_us().saturating_sub(self.suspended_at_start_us)
     }
 
-    /// The time from now until `moment`; zero when it has passed.
+    /// Time from now to `moment`; zero if it has passed.
     pub fn time_until(&self, moment: Moment) -> Duration {
         Duration::from_micros(moment.since(self.now()))
     }
 
-    /// Waits for `future` until `deadline`, which passes during a suspension too.
+    /// Waits for `future` until `deadline`, which also passes while the VM is suspended.
     pub async fn timeout_at<T>(
         &self,
         deadline: Moment,
@@ -72,14 +71,14 @@
     micros(clock_gettime(ClockId::Boottime))
 }
 
-/// What the steady clock has missed: suspensions.
+/// Time that the monotonic clock did not count because the VM was suspended.
 fn suspended_us() -> u64 {
-    let steady = micros(clock_gettime(ClockId::Monotonic));
-    vm_uptime_us().saturating_sub(steady)
+    let monotonic = micros(clock_gettime(ClockId::Monotonic));
+    vm_uptime_us().saturating_sub(monotonic)
 }
 
 fn micros(time: Timespec) -> u64 {
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u64::try_from(time.tv_nsec).unwrap_or_default();
-    seconds * SECOND + nanos / NANOS
+    seconds * SECOND + nanos / NANOS_PER_MICRO
 }
--- a/components/errors/src/contained.rs
+++ b/components/errors/src/contained.rs
@@ -1,17 +1,18 @@
-//! Steps that read what comes from outside.
+//! Containment of panics in steps that read external input.
 
 use crate::{Error, Result, Step};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Runs one step that reads what `peer` sent. A panic becomes an error: it would end this process, which reads the
-/// same again after its start, and every other one that does. What the step was working on has to be dropped then.
+/// Runs a step that reads input from `peer`, and turns a panic into an error. Without this, the panic
+/// would end this process again and again, since it reads the same input after each restart, and every
+/// other process that reads it. On an error the caller must drop the state that the step worked on.
 pub fn catch_panic<T>(step: Step, peer: &str, read: impl FnOnce() -> T) -> Result<T> {
     catch_unwind(AssertUnwindSafe(read)).map_err(|cause| {
-        let said = cause
+        let message = cause
             .downcast_ref::<&str>()
             .map(ToString::to_string)
             .or_else(|| cause.downcast_ref::<String>().cloned());
-        let said = said.unwrap_or_else(|| "without a word".to_string());
-        Error::new(step, peer, format!("a panic: {said}"))
+        let message = message.unwrap_or_else(|| "no message".to_string());
+        Error::new(step, peer, format!("a panic: {message}"))
     })
 }
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,7 +1,7 @@
 //! Error types shared by all components.
 //!
-//! [`Error`] is for failures at run time: it carries the step and the peer at which it arose.
-//! [`Problem`] is for input written by people: it names file, line, section, key and value.
+//! [`Error`] is for failures at run time: it names the step that failed and the peer.
+//! [`Problem`] is for files written by people: it names file, line, section, key and value.
 
 mod contained;
 mod problem;
@@ -11,33 +11,33 @@
 
 use std::fmt;
 
-/// The step of the work during which a failure arose.
+/// The operation that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Reading or checking settings.
     Settings,
     /// Opening a connection.
     Connect,
-    /// Proving to a peer that this process belongs to the fleet, or checking such a proof.
+    /// Authenticating this node to a peer, or a peer to this node.
     Handshake,
     /// Encoding or decoding a frame between nodes.
     Frame,
-    /// Reading a request of a caller.
+    /// Reading a caller's request.
     CallerRequest,
-    /// Exchanging a request and its answer with an upstream.
+    /// Exchanging a request and its response with an upstream.
     Upstream,
     /// Calling the platform's object API.
     Platform,
     /// Reading or checking declarations.
     Declarations,
-    /// Serving the operators' address.
+    /// Serving requests at the operators' address.
     Operators,
-    /// Reading what an upstream sends to the node beside it.
+    /// Reading a registration that an upstream sends to its local node.
     Registration,
 }
 
 impl Step {
-    /// A fixed lower-case name, used in logs and as a metric label.
+    /// Fixed lower-case name for logs and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Step::Settings => "settings",
@@ -60,20 +60,19 @@
     }
 }
 
-/// A failure, with the step and the peer (address or name) at which it arose.
+/// A failure at run time.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{step} with {peer}: {cause}")]
 pub struct Error {
-    /// What was being done.
+    /// The operation that failed.
     pub step: Step,
-    /// The other side: an address, a VM's name, or `-` where there is none.
+    /// The peer: an address, a VM's name, or `-` if there is none.
     pub peer: String,
-    /// What went wrong, in the words of the library that noticed.
+    /// What went wrong, as reported by the library that detected it.
     pub cause: String,
 }
 
 impl Error {
-    /// Builds an error from anything printable.
     pub fn new(step: Step, peer: impl fmt::Display, cause: impl fmt::Display) -> Error {
         Error {
             step,
@@ -83,5 +82,5 @@
     }
 }
 
-/// A result whose error carries step and peer.
+/// A result with an [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
--- a/components/errors/src/problem.rs
+++ b/components/errors/src/problem.rs
@@ -1,13 +1,13 @@
-//! Problems found in files written by people.
+//! Problems in files written by people.
 
 use std::fmt;
 
-/// One problem in a file: where it is, what was found and what is allowed.
+/// A problem in a file: its location, the value found and the values allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Name of the file as the user gave it.
+    /// Name of the file as it was given.
     pub file: String,
-    /// Line, counted from 1; 0 when the problem has no line (a missing key).
+    /// Line, counted from 1; 0 if the problem has none (a missing section).
     pub line: usize,
     /// Section of the INI file, or the empty string.
     pub section: String,
@@ -15,7 +15,7 @@
     pub key: String,
     /// The value found, or the empty string.
     pub value: String,
-    /// What is allowed, as a sentence fragment.
+    /// What is allowed, as a fragment of a sentence.
     pub allowed: String,
 }
 
--- a/components/sections/src/lib.rs
+++ b/components/sections/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checked reading of INI files written by people.
+//! Reads and checks INI files written by people.
 //!
-//! A [`Reader`] collects every problem of a file and reports them all at once. Keys and sections
-//! that nobody asked for are problems too.
+//! A [`Reader`] collects all problems of a file and reports them together. Unknown sections and keys
+//! are problems too.
 
 mod reader;
 
--- a/components/sections/src/reader.rs
+++ b/components/sections/src/reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one file.
+//! Reader of one INI file.
 
 use errors::{Problem, Problems};
 use ini::Ini;
@@ -10,9 +10,9 @@
 pub struct Reader {
     file: String,
     text: String,
-    /// In the file's order.
+    /// In the order of the file.
     sections: Vec<Section>,
-    /// The first section of each name.
+    /// Index of the first section of each name.
     by_name: HashMap<String, usize>,
     problems: Vec<Problem>,
 }
@@ -23,23 +23,23 @@
     entries: Vec<Entry>,
 }
 
-/// A key with its value. Sections have few keys, so that looking through them beats a map.
+/// A key with its value. Sections have few keys, so a linear search is faster than a map.
 #[derive(Debug)]
 struct Entry {
     key: String,
     value: String,
-    used: bool,
+    is_used: bool,
 }
 
 impl Section {
     fn is_used(&self, key: &str) -> bool {
         let mut entries = self.entries.iter();
-        entries.any(|entry| entry.key == key && entry.used)
+        entries.any(|entry| entry.key == key && entry.is_used)
     }
 }
 
 impl Reader {
-    /// Parses `text`, which came from `file`. A syntax error is the file's only problem.
+    /// Parses `text`, the content of `file`. A syntax error is reported as the only problem.
     pub fn new(file: &str, text: &str) -> Result<Reader, Problems> {
         let ini = Ini::load_from_str(text).map_err(|error| {
             Problems(vec![Problem {
@@ -63,37 +63,38 @@
             by_name,
             problems: Vec::new(),
         };
-        reader.find_doubled_keys();
+        reader.find_duplicate_keys();
         Ok(reader)
     }
 
-    /// Names of the sections, in the file's order.
+    /// Names of the sections, in the order of the file.
     pub fn sections(&self) -> Vec<String> {
         let names = self.sections.iter().map(|section| &section.name);
         names.filter(|name| !name.is_empty()).cloned().collect()
     }
 
-    /// Names after `prefix` and a space in section names such as `[group east]`.
+    /// Sections of one kind, such as `[group east]` for the kind `group`: the name of each section, and
+    /// the part after the kind.
     pub fn sections_of_kind(&self, kind: &str) -> Vec<(String, String)> {
         self.sections()
             .into_iter()
             .filter_map(|section| {
-                let (found, name) = section.split_once(' ')?;
-                (found == kind).then(|| (section.clone(), name.trim().to_string()))
+                let (found_kind, name) = section.split_once(' ')?;
+                (found_kind == kind).then(|| (section.clone(), name.trim().to_string()))
             })
             .collect()
     }
 
-    /// The value of a key, if it is there.
+    /// The value of a key, if it is present.
     pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
         let i = *self.by_name.get(section)?;
         let mut entries = self.sections[i].entries.iter_mut();
         let entry = entries.find(|entry| entry.key == key)?;
-        entry.used = true;
+        entry.is_used = true;
         Some(entry.value.trim().to_string())
     }
 
-    /// The value of a key that must be there and not be empty.
+    /// The value of a key that must be present and not empty.
     pub fn required(&mut self, section: &str, key: &str, allowed: &str) -> Option<String> {
         match self.text(section, key) {
             Some(value) if !value.is_empty() => Some(value),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A key parsed as `T`, which must be there.
+    /// The value of a key parsed as `T`. The key must be present.
     pub fn required_as<T: FromStr>(
         &mut self,
         section: &str,
@@ -115,7 +116,7 @@
         self.parse(section, key, &value, allowed)
     }
 
-    /// A key parsed as `T`, or `default` when it isn't there.
+    /// The value of a key parsed as `T`, or `default` if it is missing or invalid.
     pub fn value_or<T: FromStr>(
         &mut self,
         section: &str,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// A key parsed as a number within `range`, or `default` when it isn't there.
+    /// The value of a key as a number within `range`, or `default` if it is missing or invalid.
     pub fn number_or(
         &mut self,
         section: &str,
@@ -153,7 +154,7 @@
         default
     }
 
-    /// Notes a problem with a key.
+    /// Records a problem with a key.
     pub fn problem(&mut self, section: &str, key: &str, value: &str, allowed: &str) {
         self.problems.push(Problem {
             file: self.file.clone(),
@@ -165,7 +166,7 @@
         });
     }
 
-    /// Ends the reading: reports unknown sections and keys, and all other problems.
+    /// Finishes reading. Reports unknown sections and keys, and all other problems.
     pub fn finish(mut self, known_sections: &[&str]) -> Result<(), Problems> {
         self.find_unknown(known_sections);
         if self.problems.is_empty() {
@@ -197,14 +198,14 @@
         for section in &self.sections {
             let name = section.name.as_str();
             let kind = name.split(' ').next().unwrap_or("");
-            let empty = name.is_empty() && section.entries.is_empty();
-            if !empty && !known_sections.contains(&kind) {
+            let is_empty = name.is_empty() && section.entries.is_empty();
+            if !is_empty && !known_sections.contains(&kind) {
                 unknown.push((name.to_string(), String::new(), String::new()));
                 continue;
             }
             let first = &self.sections[self.by_name[name]];
-            let unused = section.entries.iter();
-            for entry in unused.filter(|entry| !first.is_used(&entry.key)) {
+            let entries = section.entries.iter();
+            for entry in entries.filter(|entry| !first.is_used(&entry.key)) {
                 unknown.push((name.to_string(), entry.key.clone(), entry.value.clone()));
             }
         }
@@ -218,28 +219,28 @@
         }
     }
 
-    fn find_doubled_keys(&mut self) {
-        let mut doubled = Vec::new();
+    fn find_duplicate_keys(&mut self) {
+        let mut duplicates = Vec::new();
         for (i, section) in self.sections.iter().enumerate() {
             let first = self.by_name[&section.name];
             for (j, entry) in section.entries.iter().enumerate() {
-                let before = if first == i {
+                let earlier = if first == i {
                     &section.entries[..j]
                 } else {
                     &self.sections[first].entries[..]
                 };
-                if before.iter().any(|other| other.key == entry.key) {
+                if earlier.iter().any(|other| other.key == entry.key) {
                     let key = entry.key.clone();
-                    doubled.push((section.name.clone(), key, entry.value.clone()));
+                    duplicates.push((section.name.clone(), key, entry.value.clone()));
                 }
             }
         }
-        for (section, key, value) in doubled {
+        for (section, key, value) in duplicates {
             self.problem(&section, &key, &value, "given twice");
         }
     }
 
-    /// The line of a key, of its section when the key is missing, or 0.
+    /// The line of a key; that of its section if the key is missing, or 0.
     fn line_of(&self, section: &str, key: &str) -> usize {
         let mut current = String::new();
         let mut section_line = 0;
@@ -256,8 +257,8 @@
                 }
                 continue;
             }
-            let found = line.split(['=', ':']).next().unwrap_or("").trim();
-            if current == section && !key.is_empty() && found == key {
+            let found_key = line.split(['=', ':']).next().unwrap_or("").trim();
+            if current == section && !key.is_empty() && found_key == key {
                 key_line = i + 1;
             }
         }
@@ -273,7 +274,7 @@
     let entries = properties.into_iter().map(|(key, value)| Entry {
         key,
         value,
-        used: false,
+        is_used: false,
     });
     Section {
         name: name.unwrap_or_default(),
