--- a/components/settings/src/accounts.rs
+++ b/components/settings/src/accounts.rs
@@ -1,32 +1,34 @@
-//! Bounds on what client accounts get.
+//! Precision with which limits and keys of client accounts are enforced.
 
 use crate::millis::{Millis, MILLIS_FORMAT};
 use sections::Reader;
 
-/// How closely the fleet keeps to what is declared of client accounts.
+/// How precisely the fleet enforces the declarations of client accounts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AccountBounds {
-    /// A key that was withdrawn lets nobody in after this time, in milliseconds, anywhere: a node whose news is older
-    /// refuses what needs a key. None: it goes on with what it knows.
+    /// Time after which a withdrawn key must be rejected by all nodes, in milliseconds. A node whose
+    /// declarations are older rejects requests that need a key. `None`: it continues with the
+    /// declarations that it has.
     pub withdrawn_within_ms: Option<u64>,
-    /// The window in which requests of an account are counted, in milliseconds.
+    /// Window in which the requests of an account are counted, in milliseconds.
     pub window_ms: u64,
-    /// How far beyond its limit an account may get in any window, as a part of what it may have there.
+    /// How far an account may exceed its limit in any window, as a fraction of the requests that the
+    /// limit allows there.
     pub overshoot: f64,
-    /// Requests beyond that.
+    /// Further requests by which an account may exceed its limit.
     pub slack: f64,
 }
 
 pub(crate) fn read(reader: &mut Reader) -> AccountBounds {
-    let number = "a number, 0 or more";
+    let allowed = "a number, 0 or more";
     let Millis(withdrawn_within_ms) =
         reader.value_or("accounts", "withdrawn_within", MILLIS_FORMAT, Millis(0));
     let Millis(window_ms) = reader.value_or("accounts", "window", MILLIS_FORMAT, Millis(0));
     AccountBounds {
         window_ms,
         withdrawn_within_ms: (withdrawn_within_ms > 0).then_some(withdrawn_within_ms),
-        overshoot: tolerance(reader, "overshoot", number),
-        slack: tolerance(reader, "slack", number),
+        overshoot: tolerance(reader, "overshoot", allowed),
+        slack: tolerance(reader, "slack", allowed),
     }
 }
 
--- a/components/settings/src/headers.rs
+++ b/components/settings/src/headers.rs
@@ -1,39 +1,41 @@
-//! Names of the headers in which callers, upstreams and nodes speak to each other.
+//! Names of the headers that callers, upstreams and nodes exchange.
 
 use sections::Reader;
 
 /// Header names. A header without a name is neither read nor written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Headers {
-    /// Time that the sender of a request will wait, in milliseconds.
+    /// Time for which the sender of a request will wait, in milliseconds.
     pub deadline_ms: String,
-    /// How many services a call has passed.
+    /// Call depth: number of services that a call has passed.
     pub level: String,
-    /// Identity of a caller's try; an upstream's answer repeats it.
+    /// ID of a caller's try. The upstream's answer repeats it.
     pub request_id: Option<String>,
-    /// Service of the VM on which a request began; always set by the node.
+    /// Service of the VM on which a request originated. Always set by the node.
     pub caller_service: Option<String>,
-    /// The run of the upstream that is meant; another one must not run the request.
+    /// Incarnation of the upstream that the request is for. Another one must not run it.
     pub expected_instance: Option<String>,
-    /// The run of the upstream that answered a health check.
+    /// Incarnation of the upstream that answered a health check.
     pub instance: Option<String>,
-    /// Says in an upstream's answer that the request was not run.
+    /// In an upstream's answer: reports that the request was not run.
     pub not_run: Option<String>,
-    /// Running, waiting and slots of the upstream, and how long work takes there in hundredths.
+    /// Running requests, waiting requests and slots of the upstream, and its run times in percent of the
+    /// typical ones.
     pub load: Option<String>,
-    /// In an answer to a health check: how much longer the upstream is cold, in milliseconds.
+    /// In an answer to a health check: for how much longer the upstream is cold, in milliseconds.
     pub cold_ms: Option<String>,
-    /// In an upstream's answer: the requests a second that it takes from all nodes together, as a decimal number.
+    /// In an upstream's answer: requests per second that it accepts from all nodes together, as a decimal
+    /// number.
     pub request_limit: Option<String>,
-    /// In an upstream's answer: `1` says that it leaves.
+    /// In an upstream's answer: `1` reports that it is draining.
     pub leaving: Option<String>,
-    /// Key of a client account; read here and shown to no upstream.
+    /// Key of a client account. Read by the node and not forwarded to upstreams.
     pub account_key: Option<String>,
-    /// Name of the client account in which a request runs; always set by the node.
+    /// Name of the client account for which a request runs. Always set by the node.
     pub account: Option<String>,
-    /// Whether `Retry-After` may hold a fraction of a second; otherwise it is rounded up.
+    /// Whether `Retry-After` may contain a fraction of a second. Otherwise it is rounded up.
     pub retry_after_fractions: bool,
-    /// Whether every request that was not run for lack of capacity or time ends as 503.
+    /// Whether every request that was not run for lack of capacity or time is answered with 503.
     pub not_run_is_503: bool,
 }
 
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: one INI file, checked whole at start.
+//! Settings of a node: one INI file that is checked completely at startup.
 
 mod accounts;
 mod cold;
--- a/components/settings/src/millis.rs
+++ b/components/settings/src/millis.rs
@@ -1,4 +1,4 @@
-//! A length of time as people write it.
+//! Durations as they are written in settings.
 
 use std::str::FromStr;
 
@@ -6,8 +6,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Millis(pub u64);
 
-/// What a length of time must look like.
-pub const MILLIS_FORMAT: &str = "a length of time such as 1500, 1500ms or 1.5s";
+/// Description of the format, for error messages.
+pub const MILLIS_FORMAT: &str = "a duration such as 1500, 1500ms or 1.5s";
 
 impl FromStr for Millis {
     type Err = ();
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! The settings and their check.
+//! The settings and their checks.
 
 use crate::accounts::{self, AccountBounds};
 use crate::cold::{self, ColdLimit};
@@ -11,35 +11,35 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Most slots an upstream may have.
+/// Maximum number of slots of an upstream.
 const MAX_SLOTS: u64 = 10_000;
-/// Largest body that may be allowed, in bytes.
+/// Upper bound of the configurable body limit.
 const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
-/// Body limit when none is set, in bytes.
+/// Default body limit.
 const DEFAULT_BODY_BYTES: u64 = 1024 * 1024;
-/// How long after the deadline an answer is waited for when nothing is set, in milliseconds: an
-/// upstream that ignores deadlines may take this long.
+/// Default time for which an answer is awaited after the deadline: an upstream that ignores deadlines
+/// may take this long.
 const DEFAULT_OVERRUN_MS: u64 = 30_000;
-/// Longest wait of a planned stop when nothing is set, in milliseconds.
+/// Default maximum wait of a planned stop.
 const DEFAULT_STOP_WAIT_MS: u64 = 10_000;
-/// Bound on retries when nothing is set: one in ten calls, and ten at a time.
+/// Default bound on retries: one for every five requests, and 100 more, in any window of 10 s.
 const DEFAULT_RETRIES: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 100.0,
     window_ms: 10_000,
 };
-/// Time within which a change must be in force everywhere when nothing is set, in milliseconds: the users'
-/// bound for their whole fleet.
+/// Default time within which a change must be in force on all nodes: the requirement of deployments
+/// for their whole fleet.
 const DEFAULT_IN_FORCE_WITHIN_MS: u64 = 4_000;
-/// Shortest fleet key, in characters.
+/// Minimum length of the fleet key.
 const MIN_KEY_LENGTH: usize = 16;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text an event.
+    /// One line of text per event.
     Text,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
@@ -54,13 +54,13 @@
     }
 }
 
-/// Where a node learns of the other nodes and of the declarations.
+/// Source of the list of nodes and of the declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetSource {
-    /// From the platform's list of VMs and the head that operators write.
+    /// The platform's list of VMs, and the head that operators write.
     Listed,
-    /// From records that the nodes keep in the platform's store and tell one another; upstreams
-    /// register themselves at the node beside them.
+    /// Records that the nodes keep in the platform's store and exchange with each other. Upstreams
+    /// register at their local node.
     Registered,
 }
 
@@ -75,98 +75,97 @@
     }
 }
 
-/// Bound on the runs of a service's requests beyond the first of each, for the whole fleet.
+/// Bound on retries for the whole fleet: runs of a service's requests beyond the first run of each.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
-    /// Retries for each request within the window.
+    /// Retries per request in the window.
     pub ratio: f64,
-    /// Retries beyond that in any window.
+    /// Further retries in any window.
     pub slack: f64,
-    /// The window, in milliseconds.
     pub window_ms: u64,
 }
 
-/// Everything a node is told at start.
+/// Settings of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of the VM, as in the platform's list.
     pub vm: Name,
     /// Data hall of the VM.
     pub hall: Name,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub callers: SocketAddr,
-    /// Where other nodes connect.
+    /// Address at which other nodes connect.
     pub peers: SocketAddr,
-    /// Where other nodes are told to connect, when that is another address.
+    /// Address that is announced to other nodes, if it differs from `peers`.
     pub peers_told: Option<SocketAddr>,
-    /// Where operators connect.
+    /// Address at which operators connect.
     pub operators: SocketAddr,
-    /// The upstream beside this node; none on a node with entry duty only.
+    /// Address of the local upstream; `None` on a node with entry duty only.
     pub upstream: Option<SocketAddr>,
-    /// Requests the upstream serves at once.
+    /// Number of requests that the upstream serves concurrently.
     pub slots: u32,
-    /// Part of the slots that is used.
+    /// Fraction of the slots that is used.
     pub usable: f64,
-    /// Looks per second at what the upstream says of itself, at most; 0 for none.
+    /// Maximum rate of health probes of the upstream, per second; 0 disables them.
     pub looks_per_s: u32,
-    /// Connections to the upstream kept open.
+    /// Idle connections to the upstream that are kept open.
     pub warm_connections: usize,
-    /// Connections to the upstream at most.
+    /// Maximum number of connections to the upstream.
     pub max_connections: usize,
     /// Addresses of the platform's object API.
     pub platform: Vec<SocketAddr>,
     /// Time within which a change of the declarations must be in force on all nodes, in milliseconds.
     pub in_force_within_ms: u64,
-    /// Peers' addresses to learn from while the platform is down.
+    /// Addresses of peers from which the node learns the fleet while the platform is down.
     pub seeds: Vec<SocketAddr>,
     /// Key that all nodes of the fleet share.
     pub fleet_key: String,
-    /// Largest body of a request or an answer, in bytes.
+    /// Maximum size of the body of a request or an answer.
     pub max_body_bytes: usize,
-    /// Connections of callers at most.
+    /// Maximum number of connections of callers.
     pub max_callers: usize,
-    /// How long a planned stop waits for requests in flight, in milliseconds.
+    /// Maximum time for which a planned stop waits for requests in flight.
     pub stop_wait_ms: u64,
-    /// How long a planned stop still gives the upstream new work, in milliseconds: callers learn
-    /// only after a while that this node stops.
+    /// Time during a planned stop for which the upstream still receives new requests: callers learn with
+    /// a delay that this node stops.
     pub linger_ms: u64,
-    /// Form of the log.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// Least severe level logged: error, warn, info, debug or trace.
+    /// Least severe level that is logged: error, warn, info, debug or trace.
     pub log_level: String,
-    /// Rule of choice: expected, priced, two-choices or random; the last two are baselines of the benchmark.
+    /// Selection rule: expected, priced, two-choices or random; the last two are baselines of the benchmark.
     pub rule: String,
-    /// Where the fleet and the declarations are learned.
     pub fleet: FleetSource,
-    /// Service that runs on the VM; the name under which its calls are made.
+    /// Service that runs on the VM and in whose name its calls are made.
     pub service: Option<Name>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
-    /// Where readiness is asked.
+    /// Address at which readiness is queried.
     pub ready: Option<SocketAddr>,
-    /// Path at which readiness is asked.
+    /// Path at which readiness is queried.
     pub ready_path: String,
-    /// Where the upstream beside this node registers.
+    /// Address at which the local upstream registers.
     pub registrations: Option<SocketAddr>,
     /// Header names.
     pub headers: Headers,
-    /// How long after the deadline an answer of the upstream is still waited for, in milliseconds.
+    /// Time for which an answer of the upstream is still awaited after the deadline.
     pub overrun_ms: u64,
-    /// Whether an answer may end with its connection.
+    /// Whether the body of an answer may end with the connection.
     pub end_by_close: bool,
     /// Fleet-wide bound on retries.
     pub retries: RetryLimit,
-    /// Within how long an evacuated hall must get no new work, in milliseconds; 0 where operators evacuate none.
+    /// Time after which an evacuated hall must get no new work, in milliseconds; 0 if operators never
+    /// evacuate a hall.
     pub evacuated_within_ms: u64,
-    /// Time between two registrations of the upstream, in milliseconds; 0 when it is not known.
+    /// Interval between two registrations of the upstream, in milliseconds; 0 if unknown.
     pub registers_every_ms: u64,
-    /// What a cold upstream bears beyond what is declared.
+    /// How far a cold upstream may be loaded beyond its declared rate.
     pub cold: ColdLimit,
-    /// How closely the fleet keeps to what is declared of client accounts.
+    /// How precisely the fleet enforces the declarations of client accounts.
     pub accounts: AccountBounds,
-    /// Who gets the slots of a service that is short of them.
+    /// How the slots of a service are assigned when they are scarce.
     pub admission: Admission,
-    /// Second starts of requests whose runs take long.
+    /// Hedged attempts of requests that run for long.
     pub hedging: Hedging,
 }
 
@@ -187,7 +186,7 @@
         Settings::parse(&file, &text)
     }
 
-    /// Checks `text`, which came from `file`.
+    /// Reads and checks `text`, the content of `file`.
     pub fn parse(file: &str, text: &str) -> Result<Settings, Problems> {
         let mut reader = Reader::new(file, text)?;
         let settings = read(&mut reader);
@@ -329,7 +328,7 @@
 }
 
 fn usable(reader: &mut Reader) -> f64 {
-    let allowed = "a part above 0, at most 1";
+    let allowed = "a fraction above 0, at most 1";
     let usable = reader.value_or("upstream", "usable", allowed, 1.0);
     if usable > 0.0 && usable <= 1.0 {
         return usable;
@@ -339,10 +338,10 @@
 }
 
 fn retries(reader: &mut Reader) -> RetryLimit {
-    let number = "a number, 0 or more";
+    let allowed = "a number, 0 or more";
     RetryLimit {
-        ratio: reader.value_or("retries", "ratio", number, DEFAULT_RETRIES.ratio),
-        slack: reader.value_or("retries", "slack", number, DEFAULT_RETRIES.slack),
+        ratio: reader.value_or("retries", "ratio", allowed, DEFAULT_RETRIES.ratio),
+        slack: reader.value_or("retries", "slack", allowed, DEFAULT_RETRIES.slack),
         window_ms: millis(reader, "retries", "window", DEFAULT_RETRIES.window_ms),
     }
 }
@@ -362,10 +361,10 @@
     let Some(text) = reader.text(section, key) else {
         return Vec::new();
     };
-    let mut found = Vec::new();
+    let mut parsed = Vec::new();
     for word in text.split_whitespace() {
         match word.parse() {
-            Ok(address) => found.push(address),
+            Ok(address) => parsed.push(address),
             Err(_) => reader.problem(
                 section,
                 key,
@@ -374,7 +373,7 @@
             ),
         }
     }
-    found
+    parsed
 }
 
 fn fleet_key(reader: &mut Reader) -> Option<String> {
--- a/components/settings/src/shortage.rs
+++ b/components/settings/src/shortage.rs
@@ -1,15 +1,15 @@
-//! What a node does where services are short of capacity.
+//! What a node does when services are short of capacity.
 
 use sections::Reader;
 use std::str::FromStr;
 
-/// When a function is on.
+/// When a function is enabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Mode {
     /// Never.
     #[default]
     Off,
-    /// While client accounts are declared, or callers of this node send on before they have their answers.
+    /// While client accounts are declared, or callers of this node pipeline their requests.
     Auto,
     /// Always.
     On,
@@ -29,27 +29,27 @@
 
 const MODES: &str = "off, auto or on";
 
-/// Who gets the slots of a service that is short of them.
+/// How the slots of a service are assigned when they are scarce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Admission {
-    /// Whether a request's objective runs from its caller's first try.
+    /// Whether the objective of a request is measured from its caller's first try.
     pub from_first_try: Mode,
     /// Whether slots are shared fairly among client accounts.
     pub fair_accounts: bool,
 }
 
-/// Second starts of requests whose runs take much longer than usual.
+/// Hedged attempts of requests that run for much longer than is typical.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Hedging {
-    /// Whether they are made.
+    /// When they are made.
     pub mode: Mode,
 }
 
 pub(crate) fn read_admission(reader: &mut Reader) -> Admission {
-    let booleans = "true or false";
+    let allowed = "true or false";
     Admission {
         from_first_try: reader.value_or("admission", "from_first_try", MODES, Mode::Off),
-        fair_accounts: reader.value_or("admission", "fair_accounts", booleans, false),
+        fair_accounts: reader.value_or("admission", "fair_accounts", allowed, false),
     }
 }
 
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings, good and bad.
+//! Valid and invalid settings.
 
 use settings::Settings;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 [node]
 vm = prices-1
 hall = north
@@ -24,32 +24,32 @@
 ";
 
 #[test]
-fn good_settings_are_read_with_their_defaults() {
-    insta::assert_debug_snapshot!(Settings::parse("node.ini", GOOD).expect("good settings"));
+fn valid_settings_are_read_with_defaults() {
+    insta::assert_debug_snapshot!(Settings::parse("node.ini", VALID).expect("valid settings"));
 }
 
 #[test]
-fn every_problem_is_reported_at_once_with_file_line_section_key_and_value() {
-    let bad = GOOD
+fn all_problems_are_reported_with_file_line_section_key_and_value() {
+    let invalid = VALID
         .replace("hall = north\n", "")
         .replace("slots = 6", "slots = 0\nslot = 6")
         .replace("127.0.0.1:8081", "localhost")
         .replace("127.0.0.1:7001", "here")
         .replace("a shared key of the fleet", "short")
         + "\n[choice]\nrule = best\n\n[extra]\na = b\n";
-    let problems = Settings::parse("node.ini", &bad).expect_err("bad settings");
+    let problems = Settings::parse("node.ini", &invalid).expect_err("invalid settings");
     insta::assert_snapshot!(problems.to_string());
 }
 
 #[test]
-fn a_file_that_is_no_ini_is_refused_with_its_line() {
-    let problems = Settings::parse("node.ini", "[node\nvm = a\n").expect_err("no INI");
+fn malformed_file_is_rejected_with_the_line() {
+    let problems = Settings::parse("node.ini", "[node\nvm = a\n").expect_err("a malformed file");
     insta::assert_snapshot!(problems.to_string());
 }
 
 #[test]
-fn a_key_given_twice_is_refused() {
-    let twice = GOOD.replace("slots = 6", "slots = 6\nslots = 7");
-    let problems = Settings::parse("node.ini", &twice).expect_err("a doubled key");
+fn duplicate_key_is_rejected() {
+    let with_duplicate = VALID.replace("slots = 6", "slots = 6\nslots = 7");
+    let problems = Settings::parse("node.ini", &with_duplicate).expect_err("a duplicate key");
     insta::assert_snapshot!(problems.to_string());
 }
