--- a/components/daemon/src/registration/door.rs
+++ b/components/daemon/src/registration/door.rs
@@ -1,4 +1,4 @@
-//! The door at which the upstream beside this node registers.
+//! HTTP endpoint at which the local upstream registers.
 
 use super::{health, matches_settings, on_local_change, Registration};
 use crate::home_driver;
@@ -11,7 +11,7 @@
 use home::PriorStarts;
 use http1::{request_framing, Connection, Fault};
 use names::MILLISECOND;
-use platform::Registration as Told;
+use platform::Registration as Report;
 use registry::{Change, DepartureOutcome, HeartbeatOutcome, Instance};
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 const MAX_HEAD_BYTES: usize = 8_000;
 /// Largest body, in bytes.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// A connection on which nothing comes for so long is closed.
+/// Time without a registration after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after the listener failed, for example because descriptors ran out.
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The upstream is asked who stands there once in this time at most, in microseconds: twice a second within its budget of
-/// looks.
-const ASK_AGAIN_US: u64 = 500 * MILLISECOND;
+/// Minimum time between two checks of the upstream's identity, in microseconds: twice a second is
+/// within its budget of probes.
+const IDENTITY_CHECK_INTERVAL_US: u64 = 500 * MILLISECOND;
 
 /// Serves registrations for as long as the node runs.
 pub async fn serve(node: Rc<Node>, registration: Rc<Registration>, listener: TcpListener) {
@@ -49,7 +49,7 @@
                     Ok(Ok(true)) => {}
                     Ok(Ok(false)) | Err(_) => return,
                     Ok(Err(error)) => {
-                        tracing::info!(%error, "a registration could not be read");
+                        tracing::info!(%error, "failed to read a registration");
                         return;
                     }
                 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// One registration; false when the connection has ended.
+/// Handles one registration. Returns false when the connection has ended.
 async fn exchange(
     node: &Rc<Node>,
     registration: &Rc<Registration>,
@@ -73,13 +73,19 @@
         .adapter
         .registration(&head.method, &head.target, &body);
     let (status, text) = match read {
-        Ok(told) => match take_in(node, registration, told).await {
-            Taken::Acknowledged => (200, "{}".to_string()),
-            Taken::Doubted => (503, "another start stands here".to_string()),
-            Taken::NotBelieved => (400, "not the upstream of this VM's settings".to_string()),
+        Ok(report) => match apply_report(node, registration, report).await {
+            ReportOutcome::Acknowledged => (200, "{}".to_string()),
+            ReportOutcome::Unconfirmed => (
+                503,
+                "another instance may be running at this address".to_string(),
+            ),
+            ReportOutcome::Rejected => (
+                400,
+                "not the upstream that this VM's settings name".to_string(),
+            ),
         },
         Err(error) => {
-            tracing::warn!(%error, "a registration was refused");
+            tracing::warn!(%error, "a registration was rejected");
             (400, error.to_string())
         }
     };
@@ -95,52 +101,64 @@
     Ok(true)
 }
 
-/// Part of the time between two registrations in which an upstream that was acknowledged surely says nothing.
-const SILENT_PART: (u64, u64) = (2, 3);
+/// Minimum time between two registrations of an acknowledged upstream, as a fraction of the
+/// registration interval.
+const MIN_GAP_FRACTION: (u64, u64) = (2, 3);
 
-/// Whether an earlier run of this node may have sent work to the start whose registration came.
-fn earlier_run(node: &Node, sequence: u64, left_ms: u64) -> PriorStarts {
-    let silent_us = node.cfg.registers_every_ms * MILLISECOND * SILENT_PART.0 / SILENT_PART.1;
-    PriorStarts::of_registration(sequence, node.started, left_ms * MILLISECOND, silent_us)
+/// What earlier boots of this node may have sent to the incarnation that registers.
+fn derive_prior_starts(node: &Node, sequence: u64, remaining_cold_ms: u64) -> PriorStarts {
+    let registration_gap_us =
+        node.cfg.registers_every_ms * MILLISECOND * MIN_GAP_FRACTION.0 / MIN_GAP_FRACTION.1;
+    PriorStarts::of_registration(
+        sequence,
+        node.started,
+        remaining_cold_ms * MILLISECOND,
+        registration_gap_us,
+    )
 }
 
-/// What became of a word of the upstream.
+/// Result of a registration or departure notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Taken {
-    /// What follows from it has been done.
+enum ReportOutcome {
+    /// Applied, with all its consequences.
     Acknowledged,
-    /// Another start may be the one that runs.
-    Doubted,
-    /// It is about another upstream than the settings name.
-    NotBelieved,
+    /// Another incarnation may be the one that runs.
+    Unconfirmed,
+    /// From another upstream than the one that the settings name.
+    Rejected,
 }
 
-impl Taken {
-    fn acknowledged_unless(doubted: bool) -> Taken {
-        if doubted {
-            Taken::Doubted
+impl ReportOutcome {
+    fn acknowledged_unless(is_unconfirmed: bool) -> ReportOutcome {
+        if is_unconfirmed {
+            ReportOutcome::Unconfirmed
         } else {
-            Taken::Acknowledged
+            ReportOutcome::Acknowledged
         }
     }
 }
 
-/// Takes in what the upstream said. What follows from it has been done when this returns, so that
-/// the answer may acknowledge it.
-async fn take_in(node: &Rc<Node>, registration: &Rc<Registration>, told: Told) -> Taken {
+/// Applies a registration or departure notice. All its consequences have taken effect on return, so
+/// that the answer may acknowledge it.
+async fn apply_report(
+    node: &Rc<Node>,
+    registration: &Rc<Registration>,
+    report: Report,
+) -> ReportOutcome {
     let mut cold_ms = None;
-    let mut earlier = PriorStarts::Until(node.started);
-    let (changed, taken) = match told {
-        Told::Heartbeat(heartbeat) => {
+    let mut prior_starts = PriorStarts::Until(node.started);
+    let (changed, outcome) = match report {
+        Report::Heartbeat(heartbeat) => {
             if !matches_settings(node, registration, &heartbeat.instance, "heartbeat") {
-                return Taken::NotBelieved;
+                return ReportOutcome::Rejected;
             }
-            if let Some(standing) = stands_already(node, registration, &heartbeat.instance).await {
-                return standing;
+            if let Some(outcome) = check_replacement(node, registration, &heartbeat.instance).await
+            {
+                return outcome;
             }
             let instance = heartbeat.instance.clone();
             let sequence = heartbeat.sequence;
-            let left_ms = heartbeat.cold_ms;
+            let remaining_cold_ms = heartbeat.cold_ms;
             let now = node.now();
             let verdict = registration.local.borrow_mut().on_heartbeat(now, heartbeat);
             if verdict != HeartbeatOutcome::Taken(Change::None) {
@@ -150,45 +168,46 @@
                 verdict,
                 HeartbeatOutcome::Taken(Change::Updated | Change::Replaced)
             );
-            earlier = earlier_run(node, sequence, left_ms);
-            let is_taken = matches!(verdict, HeartbeatOutcome::Taken(_));
-            cold_ms = is_taken.then_some(left_ms);
-            let doubted = verdict == HeartbeatOutcome::Doubted;
-            (changed, Taken::acknowledged_unless(doubted))
+            prior_starts = derive_prior_starts(node, sequence, remaining_cold_ms);
+            let is_applied = matches!(verdict, HeartbeatOutcome::Taken(_));
+            cold_ms = is_applied.then_some(remaining_cold_ms);
+            let is_unconfirmed = verdict == HeartbeatOutcome::Doubted;
+            (changed, ReportOutcome::acknowledged_unless(is_unconfirmed))
         }
-        Told::Departure(incarnation) => {
-            let farewell = registration.local.borrow_mut().on_departure(&incarnation);
-            audit::upstream_departing(&incarnation, farewell);
-            let doubted = farewell == DepartureOutcome::Doubted;
-            let changed = farewell == DepartureOutcome::Taken;
-            (changed, Taken::acknowledged_unless(doubted))
+        Report::Departure(incarnation) => {
+            let departure = registration.local.borrow_mut().on_departure(&incarnation);
+            audit::upstream_departing(&incarnation, departure);
+            let is_unconfirmed = departure == DepartureOutcome::Doubted;
+            let changed = departure == DepartureOutcome::Taken;
+            (changed, ReportOutcome::acknowledged_unless(is_unconfirmed))
         }
     };
     if changed {
-        on_local_change(node, registration, earlier);
+        on_local_change(node, registration, prior_starts);
     }
     if let Some(cold_ms) = cold_ms {
         home_driver::cold_reported(node, cold_ms);
     }
-    taken
+    outcome
 }
 
-/// Asks the upstream itself when another start is said to stand in the place of one that takes work: if that one still
-/// answers, the other is none. A false one would take the upstream's work for up to 4 s.
-async fn stands_already(
+/// Checks the current upstream's identity when another incarnation registers at the address of one
+/// that is ready: if the current one still answers, the registration is false. A false registration
+/// would deprive the upstream of work for up to 4 s.
+async fn check_replacement(
     node: &Rc<Node>,
     registration: &Rc<Registration>,
-    told: &Instance,
-) -> Option<Taken> {
-    let known = registration.local.borrow().replaced_by(told).cloned()?;
+    reported: &Instance,
+) -> Option<ReportOutcome> {
+    let known = registration.local.borrow().replaced_by(reported).cloned()?;
     let now = node.now();
-    if now < registration.asked_upstream.get() + ASK_AGAIN_US {
-        return Some(Taken::Doubted);
+    if now < registration.identity_checked_at.get() + IDENTITY_CHECK_INTERVAL_US {
+        return Some(ReportOutcome::Unconfirmed);
     }
-    registration.asked_upstream.set(now);
+    registration.identity_checked_at.set(now);
     if !health::still_answers(node, &known).await {
         return None;
     }
-    audit::upstream_still_answers(&known, told);
-    Some(Taken::NotBelieved)
+    audit::upstream_still_answers(&known, reported);
+    Some(ReportOutcome::Rejected)
 }
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -1,5 +1,6 @@
-//! A look at the upstream beside a node that has just started: the upstream runs on while its node
-//! is restarted, and its next registration may be seconds away.
+//! Identity checks of the local upstream. A node that has just started checks the upstream of its
+//! previous boot: it continues to run while the node restarts, and its next registration may be
+//! seconds away.
 
 use super::{matches_settings, on_local_change, Registration};
 use crate::node::Node;
@@ -13,54 +14,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for the answer; it waits for a slot like a request.
+/// Maximum wait for the answer: the check waits for a slot like a request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// The same while another start waits to be acknowledged, which its upstream expects within a second.
-const STILL_THERE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum wait while another incarnation waits for an acknowledgement, which it expects within a
+/// second.
+const IDENTITY_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Largest answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 64 * 1024;
-/// Looks for a configuration that names the health check's path, and the pause between them.
-const CONFIGURATION_LOOKS: u32 = 50;
+/// Checks for a configuration, which names the health path, and the pause between them.
+const CONFIGURATION_CHECKS: u32 = 50;
 const CONFIGURATION_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes the run that an earlier start of this node knew, if it still runs and takes work.
-pub async fn find(node: Rc<Node>, registration: Rc<Registration>, earlier: Instance) {
+/// Makes the upstream that an earlier boot of this node recorded current, if it still runs and is
+/// ready.
+pub async fn restore_upstream(node: Rc<Node>, registration: Rc<Registration>, recorded: Instance) {
     if registration.local.borrow().current().is_some()
-        || !matches_settings(&node, &registration, &earlier, "record")
+        || !matches_settings(&node, &registration, &recorded, "record")
     {
         return;
     }
-    if earlier.state != State::Ready {
-        if registration.local.borrow_mut().restore_state(&earlier) {
+    if recorded.state != State::Ready {
+        if registration.local.borrow_mut().restore_state(&recorded) {
             on_local_change(&node, &registration, PriorStarts::Until(node.started));
         }
         return;
     }
-    let path = health_path(&node, &earlier).await;
-    let found = match path {
-        Some(path) => ask(&node, &earlier, &path, ANSWER_TIMEOUT).await,
+    let path = health_path(&node, &recorded).await;
+    let identity = match path {
+        Some(path) => check_identity(&node, &recorded, &path, ANSWER_TIMEOUT).await,
         None => Err(Error::new(
             Step::Upstream,
-            &earlier.id,
+            &recorded.id,
             "no health check is declared",
         )),
     };
-    match found {
+    match identity {
         Ok(()) => {
-            let taken = registration.local.borrow_mut().adopt(earlier.clone());
-            audit::upstream_found(&earlier, taken);
-            if taken {
+            let adopted = registration.local.borrow_mut().adopt(recorded.clone());
+            audit::upstream_found(&recorded, adopted);
+            if adopted {
                 on_local_change(&node, &registration, PriorStarts::Until(node.started));
             }
         }
-        Err(error) => tracing::info!(%error, "the upstream of an earlier start was not found"),
+        Err(error) => {
+            tracing::info!(%error, "the upstream of an earlier boot of this node was not found")
+        }
     }
 }
 
-async fn health_path(node: &Rc<Node>, earlier: &Instance) -> Option<String> {
-    for _ in 0..CONFIGURATION_LOOKS {
+async fn health_path(node: &Rc<Node>, recorded: &Instance) -> Option<String> {
+    for _ in 0..CONFIGURATION_CHECKS {
         if node.in_force().is_some() {
-            return declared_path(node, earlier);
+            return declared_path(node, recorded);
         }
         task::sleep(CONFIGURATION_PAUSE).await;
     }
@@ -73,17 +78,25 @@
     Some(registered.health_path.clone())
 }
 
-/// Whether the start `known` still answers at its address, so that no other one stands there. Unknown, and told as no,
-/// where nothing answers in time.
+/// Whether the incarnation `known` still answers at its address, so that no other one runs there.
+/// False also when it is unknown because nothing answers in time.
 pub async fn still_answers(node: &Rc<Node>, known: &Instance) -> bool {
     let Some(path) = declared_path(node, known) else {
         return false;
     };
-    ask(node, known, &path, STILL_THERE_TIMEOUT).await.is_ok()
+    check_identity(node, known, &path, IDENTITY_CHECK_TIMEOUT)
+        .await
+        .is_ok()
 }
 
-/// Asks the upstream at the address of `instance` for its identity; an error if another one or none answers.
-async fn ask(node: &Rc<Node>, instance: &Instance, path: &str, limit: Duration) -> Result<()> {
+/// Checks that the upstream at the address of `instance` identifies itself as `instance`. Fails if
+/// another one or none answers.
+async fn check_identity(
+    node: &Rc<Node>,
+    instance: &Instance,
+    path: &str,
+    limit: Duration,
+) -> Result<()> {
     let fail = |cause: String| Error::new(Step::Upstream, &instance.address, cause);
     let address: SocketAddr = instance
         .address
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -1,5 +1,5 @@
-//! Registered fleets: the upstream beside this node, the records of all nodes, and what is told to
-//! the store and to the other nodes.
+//! Registered fleets: the local upstream, the records of all nodes, and their distribution to the
+//! store and to the other nodes.
 
 mod door;
 mod health;
@@ -34,38 +34,39 @@
 use std::rc::Rc;
 use watch::PostponedPeers;
 
-/// What a node keeps of a registered fleet.
+/// A node's state in a registered fleet.
 pub struct Registration {
-    /// Translates the platform's words.
+    /// Translates the platform's formats.
     pub adapter: Box<dyn Adapter>,
-    /// The upstream beside this node.
     pub local: RefCell<LocalUpstream>,
-    /// All nodes.
+    /// Records of all nodes.
     pub fleet: RefCell<Fleet>,
-    /// Whether the records in the store were read.
+    /// Whether the records in the store have been read.
     pub has_read_records: Cell<bool>,
-    /// The store's era, and up to where the declarations were read in it.
+    /// The store's era, and the position up to which the declarations were read in it.
     pub eras: RefCell<Eras>,
-    /// Halls that are evacuated.
     pub evacuations: RefCell<Evacuations>,
-    /// Answers of the store with declarations that are being taken in.
+    /// Answers of the store with declarations that are being applied.
     pub updates_in_progress: Cell<u32>,
-    /// Records that arrive at the start and are told in one line.
+    /// Records that arrive at the start and are logged in one line.
     pub startup_records: RefCell<StartupRecords>,
-    /// Peers that told of newer declarations while this node asked nobody.
+    /// Peers that reported newer declarations while this node was not allowed to query them.
     pub postponed: RefCell<PostponedPeers<Reply>>,
-    /// Whether this node's record has been sent to open connections only, because its declarations are being read.
+    /// Whether this node's record was sent over open connections only, because the first
+    /// declarations are being read.
     announcement_deferred: Cell<bool>,
-    /// Whether an upstream that this node has named is gone or replaced. Its record is not deferred from then on.
+    /// Whether an upstream that this node's record named is gone or was replaced. From then on the
+    /// record is not deferred.
     upstream_replaced: Cell<bool>,
-    /// Whether something was learned by a comparison of which nearby nodes have not been told.
-    pub has_learned: Cell<bool>,
-    /// When the upstream was last asked whether it still stands there; 0 for never.
-    asked_upstream: Cell<Moment>,
-    /// Records of other nodes that are being written to the store.
-    storing: Cell<u32>,
-    /// Says that this node's record has changed and has to be stored.
-    changed: (Sender<()>, Receiver<()>),
+    /// Whether a comparison brought records of which the nodes of the hall have not been informed.
+    pub has_new_records: Cell<bool>,
+    /// Time of the last check of the upstream's identity on a registration of another one; 0 for
+    /// never.
+    identity_checked_at: Cell<Moment>,
+    /// Writes of other nodes' records to the store that are in progress.
+    peer_writes: Cell<u32>,
+    /// Signals that this node's record has changed and has to be written to the store.
+    write_requests: (Sender<()>, Receiver<()>),
 }
 
 impl Registration {
@@ -96,54 +97,54 @@
             postponed: RefCell::default(),
             announcement_deferred: Cell::new(false),
             upstream_replaced: Cell::new(false),
-            has_learned: Cell::new(false),
-            asked_upstream: Cell::new(Moment(0)),
-            storing: Cell::new(0),
-            changed: async_channel::bounded(1),
+            has_new_records: Cell::new(false),
+            identity_checked_at: Cell::new(Moment(0)),
+            peer_writes: Cell::new(0),
+            write_requests: async_channel::bounded(1),
         }
     }
 
-    /// Whether the upstream beside this node takes new work.
+    /// Whether the local upstream accepts new work.
     pub fn is_ready(&self) -> bool {
         let ready = |upstream: &Instance| upstream.state == registry::State::Ready;
         self.local.borrow().current().is_some_and(ready)
     }
 
-    /// Whether the upstreams of a hall get no new work, because operators say so.
+    /// Whether the upstreams of a hall get no new work, because the operators evacuated it.
     pub fn is_evacuated(&self, now: Moment, hall: &Name) -> bool {
         self.evacuations.borrow().is_evacuated(now, hall)
     }
 
     fn request_write(&self) {
-        // A full channel means that the write is asked for already.
-        self.changed.0.try_send(()).ok();
+        // A full channel means that a write is already requested.
+        self.write_requests.0.try_send(()).ok();
     }
 }
 
-/// Whether a word about the upstream beside this node may be believed: one that names another service or address than
-/// the settings is not about it. When such words were believed, calls from this VM were made in the name of a service
-/// that nobody has, and its upstream got no work any more.
+/// Whether a report about the local upstream matches the settings. One that names another service
+/// or address is not about it and must be rejected: otherwise calls from this VM are made in the
+/// name of a service that nobody has, and its upstream gets no more work.
 pub fn matches_settings(
     node: &Node,
     registration: &Registration,
-    told: &Instance,
+    reported: &Instance,
     source: &'static str,
 ) -> bool {
-    if registration.local.borrow().is_current(told) {
-        // It was believed before, and goes on, whatever the settings say by now.
+    if registration.local.borrow().is_current(reported) {
+        // It was accepted before, and continues to run whatever the settings say now.
         return true;
     }
     let in_force = node.in_force();
     let declared = |service: &Name| declared(in_force.as_deref(), service);
-    let beside = configured_upstream(node);
-    let mismatch = beside.mismatch(told, declared);
+    let configured = configured_upstream(node);
+    let mismatch = configured.mismatch(reported, declared);
     if let Some(mismatch) = mismatch {
-        audit::wrong_upstream(told, &beside, mismatch, source);
+        audit::wrong_upstream(reported, &configured, mismatch, source);
     }
     mismatch.is_none()
 }
 
-/// What the settings say of the upstream beside this node.
+/// The local upstream as the settings describe it.
 pub fn configured_upstream(node: &Node) -> ConfiguredUpstream {
     let live = node.live.borrow();
     ConfiguredUpstream {
@@ -152,7 +153,7 @@
     }
 }
 
-/// What the declarations in force say of a service whose upstreams register.
+/// Whether the declarations in force declare a service whose upstreams register.
 pub fn declared(in_force: Option<&InForce>, service: &Name) -> Declared {
     match in_force {
         None => Declared::Unknown,
@@ -161,37 +162,38 @@
     }
 }
 
-/// Has this node's record offered to the store when it is due: the store came back from an older copy.
+/// Schedules the offer of this node's record after the store was restored from an older copy.
 pub fn schedule_offer(registration: &Registration) {
     registration.request_write();
 }
 
-/// Brings the home duty and this node's record in line with what is known of the upstream beside
-/// it, and tells the others. `earlier`: whether an earlier run of this node may have sent it work.
-pub fn on_local_change(node: &Rc<Node>, registration: &Registration, earlier: PriorStarts) {
+/// Updates the home duty and this node's record after a change of the local upstream, and announces
+/// the record. `prior_starts`: what earlier boots of this node may have sent to the upstream.
+pub fn on_local_change(node: &Rc<Node>, registration: &Registration, prior_starts: PriorStarts) {
     let current = registration.local.borrow().current().cloned();
     let before = registration.fleet.borrow().own().upstream.clone();
-    let was_known = |run: &&Instance| {
-        let run = run.incarnation();
+    let was_known = |instance: &&Instance| {
+        let instance = instance.incarnation();
         let mut before = before.iter();
-        before.any(|before| before.incarnation().matches(&run))
+        before.any(|before| before.incarnation().matches(&instance))
     };
-    if let Some(current) = current.as_ref().filter(|run| !was_known(run)) {
-        let is_namesake = before
+    if let Some(current) = current.as_ref().filter(|instance| !was_known(instance)) {
+        let has_same_id = before
             .as_ref()
             .is_some_and(|before| before.id == current.id);
-        let earlier = if is_namesake {
+        let prior_starts = if has_same_id {
             PriorStarts::SameIdentity
         } else {
-            earlier
+            prior_starts
         };
-        home_driver::upstream_replaced(node, current, earlier);
+        home_driver::upstream_replaced(node, current, prior_starts);
     }
     home_driver::update_drain_state(node);
     publish(node, registration);
 }
 
-/// Tells the store and the other nodes what this node's record says, if it has changed.
+/// Updates this node's record, and if it has changed announces it and requests a write to the
+/// store.
 pub fn publish(node: &Rc<Node>, registration: &Registration) {
     let upstream = registration.local.borrow().current().cloned();
     let serving = !node.drained_by_stop.get() && !node.drained_by_operator.get();
@@ -211,24 +213,29 @@
     registration.request_write();
 }
 
-/// Changes which requests this node's record holds, and tells the store and the other nodes.
-pub fn set_quarantined(node: &Rc<Node>, registration: &Registration, held: Vec<Fingerprint>) {
+/// Changes the quarantined requests in this node's record, announces it and requests a write to the
+/// store.
+pub fn set_quarantined(
+    node: &Rc<Node>,
+    registration: &Registration,
+    fingerprints: Vec<Fingerprint>,
+) {
     let own = registration
         .fleet
         .borrow_mut()
-        .change_own(|own| own.quarantined = held);
+        .change_own(|own| own.quarantined = fingerprints);
     audit::own_record_changed(&own);
     peers::announce(node, registration, &own);
     registration.request_write();
 }
 
-/// The service of the upstream that stands beside this node.
+/// The service of the local upstream.
 pub fn local_service(registration: &Registration) -> Option<Name> {
     let local = registration.local.borrow();
-    local.current().map(|run| run.service.clone())
+    local.current().map(|instance| instance.service.clone())
 }
 
-/// The start of the upstream that stands beside this node.
+/// The incarnation of the local upstream.
 pub fn local_incarnation(registration: &Registration) -> Option<Incarnation> {
     let local = registration.local.borrow();
     local.current().map(Instance::incarnation)
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -1,8 +1,8 @@
-//! Records that the store lost when it came back from an older copy: each node offers its own again, and a node that can't
-//! reach the store has another one write it. All nodes may lose power right after, and find one another by the store
-//! alone.
+//! Records that the store lost when it was restored from an older copy: each node offers its own
+//! again, and a node that can't reach the store has another one write it. All nodes may lose power
+//! right afterwards, and would then find one another only through the store.
 
-use super::records::{decode, write_anew, Stands};
+use super::records::{decode, rewrite, StoredRecord};
 use super::Registration;
 use crate::links;
 use crate::local;
@@ -23,21 +23,22 @@
 use std::time::Duration;
 use wire::Frame;
 
-/// A record that the store has not taken for so long is given to another node to write: a quarter of what the spread
-/// of the offers leaves of the two seconds within which records must stand again.
-const ASK_AFTER: Duration = Duration::from_millis(250);
-/// Longest pause between two nodes that are asked: each of them makes a call for it.
-const MOST_ASK_PAUSE: Duration = Duration::from_secs(4);
-/// Records of other nodes that this one writes at the same time, at most.
-const MOST_STORING: u32 = 32;
+/// Time after which another node is asked to write a record that the store has not accepted: a
+/// quarter of what the spread of the offers leaves of the two seconds within which records must be
+/// stored again.
+const DELEGATE_AFTER: Duration = Duration::from_millis(250);
+/// Maximum pause between two such requests: each causes a call to the platform.
+const MAX_DELEGATE_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum number of concurrent writes of other nodes' records.
+const MAX_PEER_WRITES: u32 = 32;
 
-/// Whether this node owes the store its record.
+/// Whether this node still has to offer its record to the store.
 pub(super) fn is_due(registration: &Registration) -> bool {
     registration.eras.borrow().offer_at().is_some()
 }
 
-/// This node's record stands in the store of `era`.
-pub(super) fn done(node: &Node, registration: &Registration, era: Option<Era>) {
+/// Called when the store of `era` has this node's record.
+pub(super) fn on_stored(node: &Node, registration: &Registration, era: Option<Era>) {
     let was_due = is_due(registration);
     registration
         .eras
@@ -47,49 +48,53 @@
         stats::record_offered("itself");
         tracing::info!(
             era = era.map(|era| era.0),
-            "this node's record stands in the store again"
+            "this node's record is stored again"
         );
     }
 }
 
-/// Offers this node's record when its time has come, until the store of the present era has it.
-pub(super) async fn run(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
+/// Offers this node's record at its scheduled time, until the store of the current era has it.
+pub(super) async fn run(
+    node: &Rc<Node>,
+    registration: &Rc<Registration>,
+    stored: &mut StoredRecord,
+) {
     loop {
         let Some(at) = registration.eras.borrow().offer_at() else {
             return;
         };
         let wait_us = at.since(node.now());
         task::sleep(Duration::from_micros(wait_us)).await;
-        let writing = pin!(write_anew(node, registration, stands));
-        let asking = pin!(ask_others(node, registration));
-        match select(writing, asking).await {
+        let writing = pin!(rewrite(node, registration, stored));
+        let delegating = pin!(delegate(node, registration));
+        match select(writing, delegating).await {
             Either::Left(_) => {}
             Either::Right((never, _)) => match never {},
         }
     }
 }
 
-/// Asks one node after another to write this node's record, less and less often.
-async fn ask_others(node: &Rc<Node>, registration: &Registration) -> std::convert::Infallible {
-    let mut pause = ASK_AFTER;
+/// Asks one node after another to write this node's record, with exponential backoff.
+async fn delegate(node: &Rc<Node>, registration: &Registration) -> std::convert::Infallible {
+    let mut pause = DELEGATE_AFTER;
     loop {
         task::sleep(pause).await;
-        pause = (pause * 2).min(MOST_ASK_PAUSE);
-        let Some(asked) = pick(node) else {
+        pause = (pause * 2).min(MAX_DELEGATE_PAUSE);
+        let Some(writer) = pick_writer(node) else {
             continue;
         };
         let own = registration.fleet.borrow().own().clone();
-        tracing::info!(%asked, "another node is asked to write this node's record");
-        links::send(node, &asked, &Frame::Store(Box::new(own)));
+        tracing::info!(asked = %writer, "another node is asked to write this node's record");
+        links::send(node, &writer, &Frame::Store(Box::new(own)));
     }
 }
 
-/// A node that the store answers, as far as is heard; any other if there is none.
-fn pick(node: &Rc<Node>) -> Option<Name> {
-    let answered = node.watch.borrow().active_watchers(node.now());
+/// A node that the store answers according to its notices, or any other if there is none.
+fn pick_writer(node: &Rc<Node>) -> Option<Name> {
+    let watchers = node.watch.borrow().active_watchers(node.now());
     let connected = |vm: &&Name| links::is_connected(node, vm);
-    let answered: Vec<&Name> = answered.iter().filter(connected).collect();
-    if let Some(vm) = answered.choose(&mut rand::rng()) {
+    let watchers: Vec<&Name> = watchers.iter().filter(connected).collect();
+    if let Some(vm) = watchers.choose(&mut rand::rng()) {
         return Some((*vm).clone());
     }
     let others = node.other_nodes();
@@ -97,19 +102,23 @@
     others.choose(&mut rand::rng()).map(|vm| (*vm).clone())
 }
 
-/// Writes another node's record to the store for it.
+/// Writes another node's record to the store on its behalf.
 pub fn store_for_peer(node: &Rc<Node>, registration: &Rc<Registration>, record: Record) {
-    if registration.storing.get() >= MOST_STORING || !record.version.is_plausible() {
+    if registration.peer_writes.get() >= MAX_PEER_WRITES || !record.version.is_plausible() {
         stats::bad_input("peer");
-        tracing::info!(vm = %record.vm, "another node's record is not written: too many at once, or no node has its version");
+        tracing::info!(vm = %record.vm, "another node's record was not written: too many writes in progress, or an implausible version");
         return;
     }
     let node = node.clone();
     let registration = registration.clone();
-    registration.storing.set(registration.storing.get() + 1);
+    registration
+        .peer_writes
+        .set(registration.peer_writes.get() + 1);
     local::spawn_contained("store-for", async move {
-        let written = write_for(&node, &registration, &record).await;
-        registration.storing.set(registration.storing.get() - 1);
+        let written = write_for_peer(&node, &registration, &record).await;
+        registration
+            .peer_writes
+            .set(registration.peer_writes.get() - 1);
         match written {
             Ok(()) => stats::record_offered("another"),
             Err(error) => {
@@ -120,7 +129,11 @@
     });
 }
 
-async fn write_for(node: &Rc<Node>, registration: &Registration, record: &Record) -> Result<()> {
+async fn write_for_peer(
+    node: &Rc<Node>,
+    registration: &Registration,
+    record: &Record,
+) -> Result<()> {
     let kind = registration.adapter.record_kind();
     let store = registration.adapter.store();
     let vm = record.vm.as_str();
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -1,8 +1,8 @@
-//! Records on their way between nodes.
+//! Exchange of records between nodes.
 //!
-//! A node keeps a connection to every node of its own hall. It tells its own record whenever a
-//! connection opens; how changes reach the other halls, and how nodes find what they missed, is told
-//! in `registry`.
+//! A node keeps a connection to every node of its own hall and sends its own record whenever a
+//! connection opens. `registry` describes how changes reach the other halls, and how nodes find the
+//! records that they missed.
 
 use super::{health, Registration};
 use crate::configuration;
@@ -24,50 +24,52 @@
 use watch::{AllowedWork, CONTACT_DIALS};
 use wire::Frame;
 
-/// Time between two looks for nodes that are known and not connected. A node that restarted while
-/// the store is away is found within this time.
-const DIAL_EVERY: Duration = Duration::from_millis(250);
+/// Time between two rounds that connect to nodes which are known but not connected. A node that
+/// restarted while the store is unavailable is found within this time.
+const DIAL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Connections to its hall that a node opens at the same time, at most. When all nodes of a large hall opened all of
-/// theirs at once, most took longer than a connection may, and were begun again.
-const MOST_DIALS: usize = 32;
+/// Maximum number of connections to its hall that a node opens at the same time. When all nodes of
+/// a large hall open all of their connections at once, most exceed the connect timeout and are
+/// retried.
+const MAX_DIALS: usize = 32;
 
-/// Time between two looks whether the first declarations are in force.
-const START_LOOK: Duration = Duration::from_millis(10);
-/// Nodes that are asked for this node's own record and for evacuated halls while the declarations are being read: two, as
-/// one may have just started itself.
+/// Time between two checks whether the first declarations are in force.
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Nodes that are queried for this node's own record and for evacuated halls while the declarations
+/// are being read: two, since one may have just started itself.
 const RECORD_DIALS: usize = 2;
-/// Records that arrive so long after the start are told in one line, in microseconds: nodes that start together tell one
-/// another of their starts and of their upstreams in this time.
+/// Time after the start in which records that arrive are logged in one line, in microseconds. In
+/// this time, nodes that start together announce their starts and their upstreams to each other.
 const STARTUP_RECORDS_US: u64 = 2_000 * MILLISECOND;
 
-/// Every so many looks a node compares what it knows with others: once a second. One that has not read
-/// the records in the store yet does so at each look.
-const COMPARE_EVERY_LOOKS: u32 = 4;
+/// Number of rounds after which a node compares its records with others: once a second. A node that
+/// has not read the records in the store yet compares in each round.
+const ROUNDS_PER_COMPARISON: u32 = 4;
 
-/// Comparisons that the nodes of a hall together make with other halls in the time of one comparison of a
-/// node. Four, so that a hall whose connections fail one by one still compares each second; a node that is
-/// connected to nobody in its hall compares each time. When each node did so, comparisons were a third of the
-/// bytes between halls at rest.
-const FAR_COMPARISONS: usize = 4;
-/// Nodes of the hall that are told when a comparison brought something.
-const TOLD_OF_NEWS: usize = 4;
+/// Mean number of comparisons with other halls by all nodes of a hall together, per comparison of
+/// each node. With four, a hall still compares each second when its connections fail one by one; a
+/// node that is connected to no node of its hall compares each time. If every node compared each
+/// time, comparisons would be a third of the bytes between idle halls.
+const CROSS_HALL_COMPARISONS: usize = 4;
+/// Number of nodes of the hall that receive the digest after a comparison brought records.
+const DIGEST_TARGETS: usize = 4;
 
-/// Tells this node's record to all others, directly or through others. While the first declarations are being read, a
-/// record by which the upstream takes work goes over open connections alone, and to the others afterwards ([`run_dials`]):
-/// telling it opens connections to the whole hall.
+/// Announces this node's record to all others, directly or through others. While the first
+/// declarations are being read, a record of an upstream that accepts work is sent over open
+/// connections only, and to the others afterwards ([`run_dials`]), since an announcement opens
+/// connections to the whole hall.
 pub fn announce(node: &Rc<Node>, registration: &Registration, own: &Record) {
     let is_deferred = registry::can_defer(own)
         && !registration.upstream_replaced.get()
         && watching::allowed_work(node) != AllowedWork::Everything;
     registration.announcement_deferred.set(is_deferred);
     let fleet = registration.fleet.borrow();
-    let mut told = registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm));
+    let mut targets = registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm));
     drop(fleet);
     if is_deferred {
-        told.retain(|vm| links::is_connected(node, vm));
+        targets.retain(|vm| links::is_connected(node, vm));
     }
-    for vm in told {
+    for vm in targets {
         links::send(node, &vm, &Frame::Registered(Box::new(own.clone())));
     }
 }
@@ -75,26 +77,27 @@
 /// Sends a frame to one node of each other hall.
 pub fn send_to_other_halls(node: &Rc<Node>, registration: &Registration, frame: &Frame) {
     let fleet = registration.fleet.borrow();
-    let told = registry::cross_hall_contacts(&fleet, 1, |vm| links::has_failed(node, vm));
+    let targets = registry::cross_hall_contacts(&fleet, 1, |vm| links::has_failed(node, vm));
     drop(fleet);
-    for vm in told {
+    for vm in targets {
         links::send(node, &vm, frame);
     }
 }
 
-/// Where a record came from.
+/// Origin of a record.
 #[derive(Debug, Clone, Copy)]
 pub enum Source<'a> {
-    /// The platform's store. Whoever reads its list says once that the fleet has changed.
+    /// The platform's store. The caller reports once, after it has read the entire list, that the
+    /// fleet has changed.
     Store,
-    /// A node that tells a change: its own, or one that it passes on.
+    /// A node that announces a change: its own, or one that it forwards.
     Announced(&'a Name, &'a Reply),
-    /// A node that was found to know more. Some nodes of the hall are soon told the digest, so that they
-    /// compare as well.
+    /// A comparison with a node that has newer records. Some nodes of the hall are then sent the
+    /// digest, so that they compare as well.
     Compared(&'a Reply),
 }
 
-/// Takes in a record.
+/// Merges a record that was received.
 pub fn on_record(
     node: &Rc<Node>,
     registration: &Rc<Registration>,
@@ -121,22 +124,23 @@
             startup_records.record_applied(after, before.as_ref());
             drop(startup_records);
             let after_record = after.clone();
-            let moved = before
+            let address_changed = before
                 .as_ref()
                 .is_none_or(|before| before.peers != after.peers);
-            let renewed = before
+            let restarted = before
                 .as_ref()
                 .is_some_and(|before| before.boot != after.boot);
-            let passed_on = sender.is_some_and(|sender| registry::should_forward(&fleet, sender));
-            let news = passed_on.then(|| Frame::Registered(Box::new(after.clone())));
+            let should_forward =
+                sender.is_some_and(|sender| registry::should_forward(&fleet, sender));
+            let update = should_forward.then(|| Frame::Registered(Box::new(after.clone())));
             drop(fleet);
-            if let Some(news) = news {
-                links::broadcast_to_connected(node, &news);
+            if let Some(update) = update {
+                links::broadcast_to_connected(node, &update);
             }
             if matches!(source, Source::Compared(_)) {
-                registration.has_learned.set(true);
+                registration.has_new_records.set(true);
             }
-            if renewed || moved {
+            if restarted || address_changed {
                 links::close_outdated(node, &vm);
                 node.entry.borrow_mut().forget(&vm);
             }
@@ -145,14 +149,15 @@
             }
             containment::on_record(node, &after_record, before.as_ref());
             let direct = reply.filter(|_| sender == Some(&vm));
-            if let (Some(before), Some(reply), true) = (before, direct, renewed) {
-                // The new start may not know what the one before it has told.
+            if let (Some(before), Some(reply), true) = (before, direct, restarted) {
+                // The new boot may not know what the one before it has announced.
                 reply.send(node, Frame::Registered(Box::new(before)));
             }
         }
         MergeOutcome::Older => {
             let fleet = registration.fleet.borrow();
-            // The VM's node itself says what is older: it does not know what somebody else has said for it.
+            // If the VM's node itself sends an older record, it does not know a newer one that
+            // another node has for it.
             let is_unknown_there = |known: &&Record| known.boot != boot || sender == Some(&vm);
             let known = fleet.record(&vm).filter(is_unknown_there).cloned();
             drop(fleet);
@@ -160,7 +165,7 @@
                 reply.send(node, Frame::Registered(Box::new(known)));
             }
         }
-        MergeOutcome::Conflict => ask_its_node(node, registration, offered),
+        MergeOutcome::Conflict => report_conflict(node, registration, offered),
         MergeOutcome::OwnConflict(version) => {
             containment::adopt_predecessor_record(node, registration, &offered);
             let own = registration.fleet.borrow_mut().supersede(version);
@@ -168,7 +173,11 @@
             announce(node, registration, &own);
             registration.request_write();
             if let Some(earlier) = earlier {
-                local::spawn(health::find(node.clone(), registration.clone(), earlier));
+                local::spawn(health::restore_upstream(
+                    node.clone(),
+                    registration.clone(),
+                    earlier,
+                ));
             }
         }
         MergeOutcome::ImplausibleVersion => audit::implausible_record(&offered),
@@ -176,9 +185,10 @@
     }
 }
 
-/// Shows a VM's node two records with one version, of which it wrote one at most: it says anew what holds, above both.
-/// When such a record was kept, the VM's upstream got no work from the nodes that had read it.
-fn ask_its_node(node: &Rc<Node>, registration: &Registration, offered: Record) {
+/// Sends a VM's node two records with one version, of which it wrote at most one. The node then
+/// announces its present record with a version above both. If a false record were kept, the VM's
+/// upstream would get no work from the nodes that have read it.
+fn report_conflict(node: &Rc<Node>, registration: &Registration, offered: Record) {
     let known = registration.fleet.borrow().record(&offered.vm).cloned();
     let Some(known) = known else {
         return;
@@ -190,7 +200,7 @@
     }
 }
 
-/// Answers a node that knows other records than this one.
+/// Replies with the bucket digests to a node whose records differ.
 pub fn on_digest(node: &Rc<Node>, registration: &Registration, digest: u64, reply: &Reply) {
     let fleet = registration.fleet.borrow();
     let digests = fleet.digests();
@@ -202,7 +212,7 @@
     reply.send(node, Frame::RecordBuckets(bytes));
 }
 
-/// Tells a node the versions of the records that it may know otherwise.
+/// Replies with the versions of the records in the buckets that differ.
 pub fn on_buckets(node: &Rc<Node>, registration: &Registration, bytes: &[u8], reply: &Reply) {
     let Some(theirs) = Digests::from_bytes(bytes) else {
         stats::bad_input("peer");
@@ -217,7 +227,7 @@
     }
 }
 
-/// Sends what another node lacks, and asks for what this one lacks.
+/// Sends the records that another node lacks, and requests those that this one lacks.
 pub fn on_versions(node: &Rc<Node>, registration: &Registration, theirs: &Versions, reply: &Reply) {
     let fleet = registration.fleet.borrow();
     let compared = registry::compare(&fleet, theirs);
@@ -238,12 +248,12 @@
     }
 }
 
-/// Keeps a connection to every node of the own hall and compares with others, for as long as the node
-/// runs.
+/// Keeps a connection to every node of the own hall and compares records with others, for as long
+/// as the node runs.
 pub async fn run_dials(node: Rc<Node>, registration: Rc<Registration>) {
     dial_contacts(&node, &registration).await;
-    // First those without which no request of a limited account is let through. Telling the record connects to the whole
-    // hall.
+    // Token holders first: without them no request of a limited account is admitted. Announcing the
+    // record connects to the whole hall.
     for vm in Quotas::token_holders(&links::Peers(node.clone())) {
         links::dial(&node, &vm);
     }
@@ -252,33 +262,34 @@
         announce(&node, &registration, &own);
     }
     local::spawn(log_startup_records(node.clone(), registration.clone()));
-    let mut look = 0;
+    let mut round = 0;
     loop {
-        let apart: Vec<_> = {
+        let to_dial: Vec<_> = {
             let fleet = registration.fleet.borrow();
             let others = fleet.others();
-            let near = others.filter(|record| record.hall == node.cfg.hall);
-            let near = near.map(|record| record.vm.clone());
-            near.filter(|vm| links::can_dial(&node, vm)).collect()
+            let in_hall = others.filter(|record| record.hall == node.cfg.hall);
+            let in_hall = in_hall.map(|record| record.vm.clone());
+            in_hall.filter(|vm| links::can_dial(&node, vm)).collect()
         };
-        let room = MOST_DIALS.saturating_sub(links::connecting_count(&node));
-        for vm in apart.choose_multiple(&mut rand::rng(), room) {
+        let capacity = MAX_DIALS.saturating_sub(links::connecting_count(&node));
+        for vm in to_dial.choose_multiple(&mut rand::rng(), capacity) {
             links::dial(&node, vm);
         }
-        look += 1;
-        if look % COMPARE_EVERY_LOOKS == 0 || !registration.has_read_records.get() {
+        round += 1;
+        if round % ROUNDS_PER_COMPARISON == 0 || !registration.has_read_records.get() {
             compare(&node, &registration);
         }
-        if registration.has_learned.take() {
-            tell_digest(&node, &registration);
+        if registration.has_new_records.take() {
+            send_digest(&node, &registration);
         }
-        task::sleep(DIAL_EVERY).await;
+        task::sleep(DIAL_INTERVAL).await;
     }
 }
 
-/// Before declarations are in force: only a few nodes are dialled while the store gives them, and a few more once it has not
-/// answered. Each is told this node's record and a summary when its connection opens, and answers with what it knows
-/// better: a later record of this node, by which its upstream may be drained, and which halls are evacuated.
+/// Until declarations are in force, connects to only a few nodes while they are read from the
+/// store, and to a few more once the store has failed to answer. Each receives this node's record
+/// and a summary when its connection opens, and replies with what is newer: a later record of this
+/// node, by which its upstream may be draining, and the evacuated halls.
 async fn dial_contacts(node: &Rc<Node>, registration: &Registration) {
     loop {
         configuration::query_postponed(node, registration);
@@ -290,11 +301,11 @@
         for vm in start_contacts(node, registration, count) {
             links::dial(node, &vm);
         }
-        task::sleep(START_LOOK).await;
+        task::sleep(START_CHECK_INTERVAL).await;
     }
 }
 
-/// The nodes to dial now, so that `count` are connected.
+/// The nodes to connect to now, so that `count` are connected.
 fn start_contacts(node: &Node, registration: &Registration, count: usize) -> Vec<Name> {
     registry::start_contacts(
         &registration.fleet.borrow(),
@@ -304,42 +315,45 @@
     )
 }
 
-/// Writes how many records arrived at the start, once they have arrived.
+/// Logs how many records arrived at the start, once [`STARTUP_RECORDS_US`] have passed.
 async fn log_startup_records(node: Rc<Node>, registration: Rc<Registration>) {
     let until = node.started + STARTUP_RECORDS_US;
     task::sleep(Duration::from_micros(until.since(node.now()))).await;
     registration.startup_records.borrow_mut().finish();
 }
 
-/// Tells what this node knows to one node of its hall and, now and then, to a contact in another.
+/// Sends the digest and the summary to one node of the hall and, at random, to a contact in another
+/// hall.
 fn compare(node: &Rc<Node>, registration: &Registration) {
     let fleet = registration.fleet.borrow();
-    let near = near_peers(node, &fleet);
-    let is_far_turn = rand::rng().random_range(0..=near.len()) < FAR_COMPARISONS;
-    let far = is_far_turn.then(|| far_contact(node, &fleet)).flatten();
+    let in_hall = connected_in_hall(node, &fleet);
+    let includes_cross_hall = rand::rng().random_range(0..=in_hall.len()) < CROSS_HALL_COMPARISONS;
+    let cross_hall = includes_cross_hall
+        .then(|| cross_hall_contact(node, &fleet))
+        .flatten();
     let digest = fleet.digests().combined();
     drop(fleet);
-    let near = near.choose(&mut rand::rng()).cloned();
-    for vm in near.into_iter().chain(far) {
+    let in_hall = in_hall.choose(&mut rand::rng()).cloned();
+    for vm in in_hall.into_iter().chain(cross_hall) {
         links::send(node, &vm, &Frame::RecordsDigest(digest));
         links::send(node, &vm, &Frame::Summary(node.summary()));
     }
 }
 
-/// Tells a few nodes of the hall that this one has learned something by a comparison. What one node finds out
-/// is known to the hall within three or four looks.
-fn tell_digest(node: &Rc<Node>, registration: &Registration) {
+/// Sends the digest to a few nodes of the hall after a comparison brought records. Records that one
+/// node receives reach the whole hall within three or four rounds.
+fn send_digest(node: &Rc<Node>, registration: &Registration) {
     let fleet = registration.fleet.borrow();
-    let near = near_peers(node, &fleet);
+    let in_hall = connected_in_hall(node, &fleet);
     let digest = fleet.digests().combined();
     drop(fleet);
-    for vm in near.choose_multiple(&mut rand::rng(), TOLD_OF_NEWS) {
+    for vm in in_hall.choose_multiple(&mut rand::rng(), DIGEST_TARGETS) {
         links::send(node, vm, &Frame::RecordsDigest(digest));
     }
 }
 
 /// The other nodes of this hall to which a connection is open.
-fn near_peers(node: &Rc<Node>, fleet: &registry::Fleet) -> Vec<Name> {
+fn connected_in_hall(node: &Rc<Node>, fleet: &registry::Fleet) -> Vec<Name> {
     fleet
         .others()
         .filter(|record| record.hall == node.cfg.hall && links::is_connected(node, &record.vm))
@@ -347,8 +361,8 @@
         .collect()
 }
 
-/// One of this node's contacts in a hall drawn at random.
-fn far_contact(node: &Rc<Node>, fleet: &registry::Fleet) -> Option<Name> {
+/// A random contact of this node in a random other hall.
+fn cross_hall_contact(node: &Rc<Node>, fleet: &registry::Fleet) -> Option<Name> {
     let halls: BTreeSet<&Name> = fleet.others().map(|record| &record.hall).collect();
     let halls: Vec<&Name> = halls
         .into_iter()
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -1,9 +1,9 @@
-//! This node's record in the store, and the records that the others left there.
+//! This node's record in the store, and the other nodes' records there.
 //!
-//! The store is where nodes find one another: what stands there need not be up to date, since nodes tell one
-//! another what has changed. A record is written when it leads to another address than what stands there,
-//! and some time after another run of the upstream was found, so that a node which restarts while all others
-//! do finds its upstream without waiting to be told of it.
+//! Nodes find one another through the store. The records there need not be up to date, since nodes
+//! announce changes to one another. A record is written when its address differs from the stored
+//! one, and some time after another incarnation of the upstream became current, so that a node
+//! which restarts together with all others finds its upstream without waiting for a registration.
 
 use super::{health, offer, peers, Registration, Source};
 use crate::containment;
@@ -23,102 +23,110 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Looks for the first registration of the upstream before the record is written without one, and the
-/// pause between them: together longer than the time between two registrations, and at the first start of
-/// the fleet longer than upstreams take to start and to be heard. Without that nodes write twice.
-const UPSTREAM_LOOKS: u32 = 40;
-const FIRST_START_LOOKS: u32 = 160;
+/// Checks for the first registration of the upstream before the record is written without one, and
+/// the pause between them. Together they last longer than the interval of registrations, and at the
+/// first start of the fleet longer than upstreams take to start and register. Otherwise nodes write
+/// twice.
+const UPSTREAM_CHECKS: u32 = 40;
+const FIRST_START_CHECKS: u32 = 160;
 const UPSTREAM_PAUSE: Duration = Duration::from_millis(50);
-/// A change of the upstream is written after this time, in milliseconds, drawn between it and its double:
-/// what ends soon after its start is never written.
-const WRITE_AFTER_MS: u64 = 10_000;
-/// Further reads of the records by a node that has found no other: of nodes that start together, those that
-/// read last find the others, and tell them.
-const LONELY_READS: u32 = 4;
-/// Pause before the first of them; it doubles.
-const LONELY_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum delay of the write after a change of the upstream, in milliseconds; the delay is random,
+/// up to twice this. An upstream that ends soon after its start is thus never written.
+const MIN_WRITE_DELAY_MS: u64 = 10_000;
+/// Maximum further reads of the records by a node that has found no other. Of nodes that start
+/// together, those that read last find the others and announce themselves to them.
+const ISOLATED_READS: u32 = 4;
+/// Pause before the first further read; it doubles each time.
+const ISOLATED_PAUSE: Duration = Duration::from_secs(1);
 
-/// What stands in the store of this node.
+/// What is known of this node's record in the store.
 #[derive(Debug, Default)]
-pub(super) struct Stands {
+pub(super) struct StoredRecord {
     revision: Option<u64>,
     peers: String,
     upstream: Option<Incarnation>,
-    held: Vec<Fingerprint>,
+    quarantined: Vec<Fingerprint>,
 }
 
-/// Learns of the other nodes and keeps this node's record, for as long as the node runs.
+/// Reads the other nodes' records and maintains this node's record, for as long as the node runs.
 pub async fn run(node: Rc<Node>, registration: Rc<Registration>) {
-    let mut stands = Stands::default();
+    let mut stored = StoredRecord::default();
     if !node.cfg.first_start {
-        // The others' records first: what stands there of a node that restarts need not be written again.
-        learn(&node, &registration, &mut stands).await;
+        // Reads first: if the stored record of a restarting node is still right, no write is
+        // needed.
+        read_records(&node, &registration, &mut stored).await;
     }
     wait_for_upstream(&node, &registration).await;
-    if !leads_here(&registration, &stands) {
-        write_until_done(&node, &registration, &mut stands).await;
+    if !has_stored_address(&registration, &stored) {
+        write_until_done(&node, &registration, &mut stored).await;
     }
     if !knows_others(&registration) {
         // Of two nodes that start together, the one that reads last finds both records.
-        learn(&node, &registration, &mut stands).await;
+        read_records(&node, &registration, &mut stored).await;
     }
-    learn_while_lonely(&node, &registration, &mut stands).await;
+    read_while_isolated(&node, &registration, &mut stored).await;
     registration.request_write();
-    while registration.changed.1.recv().await.is_ok() {
+    while registration.write_requests.1.recv().await.is_ok() {
         if offer::is_due(&registration) {
-            offer::run(&node, &registration, &mut stands).await;
+            offer::run(&node, &registration, &mut stored).await;
             continue;
         }
-        let after_ms = rand::rng().random_range(WRITE_AFTER_MS..=2 * WRITE_AFTER_MS);
-        rest_or_hold(&registration, &stands, Duration::from_millis(after_ms)).await;
+        let after_ms = rand::rng().random_range(MIN_WRITE_DELAY_MS..=2 * MIN_WRITE_DELAY_MS);
+        delay_write(&registration, &stored, Duration::from_millis(after_ms)).await;
         if offer::is_due(&registration) {
             continue;
         }
-        let is_due = !leads_here(&registration, &stands)
-            || names_another_run(&registration, &stands)
-            || holds_others(&registration, &stands);
+        let is_due = !has_stored_address(&registration, &stored)
+            || has_unstored_upstream(&registration, &stored)
+            || has_unstored_quarantine(&registration, &stored);
         if is_due {
-            write_until_done(&node, &registration, &mut stands).await;
+            write_until_done(&node, &registration, &mut stored).await;
         }
     }
 }
 
-/// Lets time pass before a write, unless other requests are held than the store says: all nodes may lose power the
-/// next moment, and would let them end further upstreams. The same holds when the store has lost records.
-async fn rest_or_hold(registration: &Registration, stands: &Stands, pause: Duration) {
-    let is_urgent = || holds_others(registration, stands) || offer::is_due(registration);
-    let changed = async { while !is_urgent() && registration.changed.1.recv().await.is_ok() {} };
-    timeout(pause, changed).await.ok();
+/// Delays a write, unless the quarantined requests differ from the stored ones: if all nodes lose
+/// power now, these requests would crash further upstreams. A write is not delayed either when the
+/// store has lost records.
+async fn delay_write(registration: &Registration, stored: &StoredRecord, pause: Duration) {
+    let is_urgent = || has_unstored_quarantine(registration, stored) || offer::is_due(registration);
+    let until_urgent =
+        async { while !is_urgent() && registration.write_requests.1.recv().await.is_ok() {} };
+    timeout(pause, until_urgent).await.ok();
     if offer::is_due(registration) {
-        // The next turn offers the record.
+        // The caller's next iteration offers the record.
         registration.request_write();
     }
 }
 
-/// Whether other requests are held than the store says.
-fn holds_others(registration: &Registration, stands: &Stands) -> bool {
-    registration.fleet.borrow().own().quarantined != stands.held
+/// Whether the quarantined requests differ from the stored ones.
+fn has_unstored_quarantine(registration: &Registration, stored: &StoredRecord) -> bool {
+    registration.fleet.borrow().own().quarantined != stored.quarantined
 }
 
-/// Reads in the store which requests other nodes hold.
+/// Reads the requests that other nodes have quarantined from the store.
 pub async fn read_quarantined(node: &Rc<Node>, registration: &Rc<Registration>) {
-    // What stands there of this node is known from its own writes.
-    let mut stands = Stands::default();
-    if let Err(error) = list(node, registration, &mut stands, Consistency::Latest).await {
-        tracing::info!(%error, "the store did not say which requests are held");
+    // This node's own stored record is known from its writes.
+    let mut stored = StoredRecord::default();
+    if let Err(error) =
+        apply_stored_records(node, registration, &mut stored, Consistency::Latest).await
+    {
+        tracing::info!(%error, "failed to read the quarantined requests from the store");
     }
 }
 
-/// Takes this node's record out of the store, at the end of a planned stop after the upstream has ended:
-/// its VM goes with it, and others need not look for it.
+/// Removes this node's record from the store, at the end of a planned stop after the upstream has
+/// exited: the VM is removed too, and other nodes need not look for it.
 pub async fn withdraw(node: &Rc<Node>, registration: &Registration, limit: Duration) {
-    let gone = |registration: &Registration| {
+    let is_gone = |registration: &Registration| {
         let local = registration.local.borrow();
-        local.current().is_none_or(|run| run.state == State::Gone)
+        local
+            .current()
+            .is_none_or(|upstream| upstream.state == State::Gone)
     };
-    let holds = !registration.fleet.borrow().own().quarantined.is_empty();
-    if holds || !gone(registration) {
-        // A record that names requests which are held stays, for those who start later.
+    let has_quarantined = !registration.fleet.borrow().own().quarantined.is_empty();
+    if has_quarantined || !is_gone(registration) {
+        // A record that names quarantined requests stays, for nodes that start later.
         return;
     }
     let kind = registration.adapter.record_kind();
@@ -131,14 +139,14 @@
     }
 }
 
-/// Waits a little, so that one write that names the upstream is enough.
+/// Waits for the upstream for a limited time, so that a single write includes it.
 async fn wait_for_upstream(node: &Node, registration: &Registration) {
-    let looks = if node.cfg.first_start {
-        FIRST_START_LOOKS
+    let checks = if node.cfg.first_start {
+        FIRST_START_CHECKS
     } else {
-        UPSTREAM_LOOKS
+        UPSTREAM_CHECKS
     };
-    for _ in 0..looks {
+    for _ in 0..checks {
         if registration.local.borrow().current().is_some() {
             return;
         }
@@ -146,12 +154,14 @@
     }
 }
 
-/// Reads the others' records until the store has answered or another node has told them.
-async fn learn(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
+/// Reads the other nodes' records until the store has answered or another node has sent records.
+async fn read_records(node: &Rc<Node>, registration: &Rc<Registration>, stored: &mut StoredRecord) {
     let mut pause = MIN_PAUSE_MS;
-    while let Err(error) = list(node, registration, stands, Consistency::MayLag).await {
+    while let Err(error) =
+        apply_stored_records(node, registration, stored, Consistency::MayLag).await
+    {
         set_reachable(node, false);
-        tracing::info!(%error, "the store gave no records");
+        tracing::info!(%error, "failed to read the records from the store");
         pause = back_off(pause).await;
         if knows_others(registration) {
             break;
@@ -162,16 +172,20 @@
         .set(knows_others(registration));
 }
 
-/// Reads again, a few times, while no other node is known: an answer that lags may name nobody.
-async fn learn_while_lonely(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
-    let mut pause = LONELY_PAUSE;
-    for _ in 0..LONELY_READS {
+/// Reads again, a few times, while no other node is known: a stale answer may name no other node.
+async fn read_while_isolated(
+    node: &Rc<Node>,
+    registration: &Rc<Registration>,
+    stored: &mut StoredRecord,
+) {
+    let mut pause = ISOLATED_PAUSE;
+    for _ in 0..ISOLATED_READS {
         if knows_others(registration) {
             break;
         }
         task::sleep(pause).await;
         pause *= 2;
-        learn(node, registration, stands).await;
+        read_records(node, registration, stored).await;
     }
     registration.has_read_records.set(true);
 }
@@ -180,11 +194,11 @@
     registration.fleet.borrow().len() > 1
 }
 
-/// Takes in all records that stand in the store.
-async fn list(
+/// Reads and merges all records in the store.
+async fn apply_stored_records(
     node: &Rc<Node>,
     registration: &Rc<Registration>,
-    stands: &mut Stands,
+    stored: &mut StoredRecord,
     consistency: Consistency,
 ) -> Result<()> {
     let kind = registration.adapter.record_kind();
@@ -200,7 +214,7 @@
             }
         };
         if object.name == node.cfg.vm {
-            *stands = Stands::of(object, &record);
+            *stored = StoredRecord::from_record(object, &record);
             containment::adopt_predecessor_record(node, registration, &record);
             if record.boot != node.boot {
                 node.quotas.restarted();
@@ -212,34 +226,38 @@
     Ok(())
 }
 
-/// Whether what stands in the store leads others to this node.
-fn leads_here(registration: &Registration, stands: &Stands) -> bool {
-    stands.peers == registration.fleet.borrow().own().peers
+/// Whether the stored record has this node's present address.
+fn has_stored_address(registration: &Registration, stored: &StoredRecord) -> bool {
+    stored.peers == registration.fleet.borrow().own().peers
 }
 
-/// Whether a run of the upstream takes work that isn't the one in the store.
-fn names_another_run(registration: &Registration, stands: &Stands) -> bool {
+/// Whether the upstream is ready and its incarnation differs from the stored one.
+fn has_unstored_upstream(registration: &Registration, stored: &StoredRecord) -> bool {
     let fleet = registration.fleet.borrow();
-    let run = fleet.own().upstream.as_ref();
-    let ready = run.filter(|run| run.state == State::Ready);
-    ready.is_some_and(|run| stands.upstream.as_ref() != Some(&run.incarnation()))
+    let upstream = fleet.own().upstream.as_ref();
+    let ready = upstream.filter(|upstream| upstream.state == State::Ready);
+    ready.is_some_and(|upstream| stored.upstream.as_ref() != Some(&upstream.incarnation()))
 }
 
-/// Writes this node's record, whatever the store says of it before, again and again until it is taken.
-pub(super) async fn write_anew(
+/// Writes this node's record whatever the store holds, and retries until it is accepted.
+pub(super) async fn rewrite(
     node: &Rc<Node>,
     registration: &Rc<Registration>,
-    stands: &mut Stands,
+    stored: &mut StoredRecord,
 ) {
-    stands.revision = None;
-    write_until_done(node, registration, stands).await;
+    stored.revision = None;
+    write_until_done(node, registration, stored).await;
 }
 
-async fn write_until_done(node: &Rc<Node>, registration: &Rc<Registration>, stands: &mut Stands) {
+async fn write_until_done(
+    node: &Rc<Node>,
+    registration: &Rc<Registration>,
+    stored: &mut StoredRecord,
+) {
     let mut pause = MIN_PAUSE_MS;
-    while let Err(error) = write(node, registration, stands).await {
+    while let Err(error) = write(node, registration, stored).await {
         set_reachable(node, false);
-        tracing::info!(%error, "the store did not take this node's record");
+        tracing::info!(%error, "failed to write this node's record to the store");
         pause = back_off(pause).await;
     }
     set_reachable(node, true);
@@ -248,7 +266,7 @@
 async fn write(
     node: &Rc<Node>,
     registration: &Rc<Registration>,
-    stands: &mut Stands,
+    stored: &mut StoredRecord,
 ) -> Result<()> {
     let kind = registration.adapter.record_kind();
     let store = registration.adapter.store();
@@ -256,33 +274,33 @@
         let own = registration.fleet.borrow().own().clone();
         let value =
             serde_json::to_vec(&own).map_err(|error| Error::new(Step::Platform, &own.vm, error))?;
-        let put = store.put(kind, own.vm.as_str(), stands.revision, &value);
+        let put = store.put(kind, own.vm.as_str(), stored.revision, &value);
         let put = platform_call(node, Purpose::OwnRecord, put).await;
         if put.is_err() {
             registration.eras.borrow_mut().write_unanswered(node.now());
         }
         match put? {
             PutOutcome::Written(at) => {
-                stands.wrote(at.revision, &own);
-                offer::done(node, registration, at.era);
+                stored.update(at.revision, &own);
+                offer::on_stored(node, registration, at.era);
                 return Ok(());
             }
-            PutOutcome::Conflict(None) => stands.revision = None,
+            PutOutcome::Conflict(None) => stored.revision = None,
             PutOutcome::Conflict(Some(object)) => {
-                stands.revision = Some(object.revision);
+                stored.revision = Some(object.revision);
                 match decode(&object) {
                     Ok(found) => {
-                        *stands = Stands::of(&object, &found);
+                        *stored = StoredRecord::from_record(&object, &found);
                         if found == own {
-                            offer::done(node, registration, store::known_era(node));
+                            offer::on_stored(node, registration, store::known_era(node));
                             return Ok(());
                         }
                         containment::adopt_predecessor_record(node, registration, &found);
                         if found.boot != own.boot {
-                            succeed(node, registration, found);
+                            take_over(node, registration, found);
                         }
                     }
-                    // Another writer's: it is written over.
+                    // From another writer: it is overwritten.
                     Err(error) => audit::object_unreadable(&object, &error),
                 }
             }
@@ -290,23 +308,23 @@
     }
 }
 
-impl Stands {
-    fn of(object: &StoredObject, record: &Record) -> Stands {
-        let mut stands = Stands::default();
-        stands.wrote(object.revision, record);
-        stands
+impl StoredRecord {
+    fn from_record(object: &StoredObject, record: &Record) -> StoredRecord {
+        let mut stored = StoredRecord::default();
+        stored.update(object.revision, record);
+        stored
     }
 
-    fn wrote(&mut self, revision: u64, record: &Record) {
+    fn update(&mut self, revision: u64, record: &Record) {
         self.revision = Some(revision);
         self.peers = record.peers.clone();
         self.upstream = record.upstream.as_ref().map(Instance::incarnation);
-        self.held = record.quarantined.clone();
+        self.quarantined = record.quarantined.clone();
     }
 }
 
-/// Takes over from an earlier start of this node.
-fn succeed(node: &Rc<Node>, registration: &Rc<Registration>, earlier: Record) {
+/// Takes over from an earlier boot of this node.
+fn take_over(node: &Rc<Node>, registration: &Rc<Registration>, earlier: Record) {
     let own = registration.fleet.borrow().own().version;
     if earlier.version >= own {
         let own = registration.fleet.borrow_mut().supersede(earlier.version);
@@ -314,21 +332,25 @@
         peers::announce(node, registration, &own);
     }
     if let Some(upstream) = earlier.upstream {
-        local::spawn(health::find(node.clone(), registration.clone(), upstream));
+        local::spawn(health::restore_upstream(
+            node.clone(),
+            registration.clone(),
+            upstream,
+        ));
     }
 }
 
-/// The record that stands in an object of its VM's name.
+/// Decodes the record in an object, which must have the name of the record's VM.
 pub(super) fn decode(object: &StoredObject) -> Result<Record> {
     let bad = |cause: String| Error::new(Step::Platform, &object.name, cause);
     let record: Record =
         serde_json::from_slice(&object.value).map_err(|error| bad(error.to_string()))?;
     if record.vm != object.name {
-        return Err(bad(format!("it names the VM {}", record.vm)));
+        return Err(bad(format!("the record is of the VM {}", record.vm)));
     }
     if !record.version.is_plausible() {
         return Err(bad(format!(
-            "no node comes as far as version {}.{}",
+            "the version {}.{} is implausible",
             record.version.generation, record.version.change
         )));
     }
