--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -156,8 +156,8 @@
         }
         MergeOutcome::Older => {
             let fleet = registration.fleet.borrow();
-            // If the VM's node itself sends an older record, it does not know a newer one that
-            // another node has for it.
+            // If the VM's node itself sends an older record, it does not know the newer one that
+            // another party distributed in its name.
             let is_unknown_there = |known: &&Record| known.boot != boot || sender == Some(&vm);
             let known = fleet.record(&vm).filter(is_unknown_there).cloned();
             drop(fleet);
