--- a/components/daemon/benches/decisions.rs
+++ b/components/daemon/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of each pure decision at 1, 10 and 100 times today's state.
+//! Cost of each pure decision with 1, 10 and 100 times the present amount of state.
 
 use budget::{Act, Gate, HallBudget};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -10,12 +10,13 @@
 use policy::{Input, Policy};
 use std::hint::black_box;
 
+/// Factors by which the amount of state is multiplied.
 const SCALES: [u64; 3] = [1, 10, 100];
-/// Upstreams of a group today.
+/// Present number of upstreams in a group.
 const UPSTREAMS: u64 = 4;
-/// Records of ended attempts after a minute at today's rate.
+/// Records of ended attempts after one minute at the present rate.
 const RECORDS: u64 = 500;
-/// Idempotency keys of a node today.
+/// Present number of idempotency keys at a node.
 const KEYS: u64 = 200;
 
 fn offer(seq: u64) -> Offer {
@@ -40,7 +41,7 @@
     }
 }
 
-fn choose(c: &mut Criterion) {
+fn select(c: &mut Criterion) {
     let mut group = c.benchmark_group("choose among upstreams");
     for scale in SCALES {
         let candidates: Vec<Candidate> = (0..UPSTREAMS * scale)
@@ -142,7 +143,7 @@
     };
     gate.set_hall_budget(Moment(1), hall, 95);
     let mut now = Moment(1);
-    c.bench_function("ask the measuring budget", |b| {
+    c.bench_function("spend from the measuring budget", |b| {
         b.iter(|| {
             now = now + 50_000;
             black_box(gate.spend(now, Act::HEARTBEAT))
@@ -150,7 +151,7 @@
     });
 }
 
-/// A set of `count` routes, of which the one numbered `changed` has another time limit.
+/// Declarations with `count` routes, of which the one numbered `changed` has another deadline.
 fn routes(count: usize, changed: Option<usize>) -> Bundle {
     let mut text = "[registered one]\nhealth_path = /health\n\n".to_string();
     for i in 0..count {
@@ -165,9 +166,9 @@
 fn check_routes(c: &mut Criterion) {
     let mut group = c.benchmark_group("check declarations");
     for count in [100, 1_400, 4_200] {
-        let before = declarations::check(&routes(count, None)).expect("a good set");
+        let before = declarations::check(&routes(count, None)).expect("the declarations are valid");
         let after = routes(count, Some(count / 2));
-        group.bench_function(BenchmarkId::new("the whole", count), |b| {
+        group.bench_function(BenchmarkId::new("full check", count), |b| {
             b.iter(|| black_box(declarations::check(&after)));
         });
         group.bench_function(BenchmarkId::new("one route changed", count), |b| {
@@ -177,5 +178,5 @@
     group.finish();
 }
 
-criterion_group!(benches, choose, admit, key, policy, gate, check_routes);
+criterion_group!(benches, select, admit, key, policy, gate, check_routes);
 criterion_main!(benches);
--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator of an idempotency key: makes the attempts, and claims the key first when
-//! another node may have acted for it.
+//! The coordinator of an idempotency key. It makes the attempts, and first claims the key when
+//! another node may have coordinated it.
 
 use crate::boot_record;
 use crate::entry_driver::{run_call, CallPlan, CallResult};
@@ -25,19 +25,21 @@
 use std::time::Duration;
 use wire::{Frame, RelayOutcome};
 
-/// Longest wait for another node to grant a key.
+/// Timeout for another node's reply to a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time between two looks for a revision that another node has already, and their number.
-const REVISION_LOOK: Duration = Duration::from_millis(20);
-const REVISION_LOOKS: u32 = 25;
-/// Upstreams that may see a request with a key, counting those that turned it away unrun.
-const MOST_ARRIVALS: u32 = 2;
+/// Interval of checks for a revision that the sender has already.
+const REVISION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of these checks.
+const MAX_REVISION_CHECKS: u32 = 25;
+/// Maximum number of upstreams that receive a request with a key, including those that reject it
+/// without running it.
+const MAX_ARRIVALS: u32 = 2;
 
-/// Carries one request through.
+/// Coordinates the key of one request and returns the request's outcome.
 pub async fn coordinate(node: &Rc<Node>, relay: Relay) -> RelayOutcome {
-    let received = node.now();
-    let deadline = received + relay.remaining_us;
-    let Some(in_force) = revision(node, relay.revision).await else {
+    let received_at = node.now();
+    let deadline = received_at + relay.remaining_us;
+    let Some(in_force) = await_revision(node, relay.revision).await else {
         return RelayOutcome::Unknown(Reason::NotCoordinator);
     };
     let Some(ranking) = ranking(&in_force, &relay.req.service, &relay.key) else {
@@ -46,38 +48,40 @@
     if node.was_paused() {
         boot_record::on_pause(node);
     }
-    let standing = CoordinatorView {
+    let view = CoordinatorView {
         own_vm: node.cfg.vm.clone(),
         members: node.members_within_window(&relay.req.service, &ranking),
         ranking,
         is_uncertain: node.claims.borrow().is_uncertain(node.now()),
     };
-    let work = Work {
+    let request = KeyedRequest {
         node,
         in_force: &in_force,
         key: KeyHash::new(&relay.req.service, &relay.key),
-        standing,
-        received,
+        view,
+        received_at,
         deadline,
         relay,
     };
-    work.run().await
+    request.run().await
 }
 
-/// The revision in force, once it is at least `revision`: the sender may have it a little earlier.
-async fn revision(node: &Rc<Node>, revision: u64) -> Option<Arc<InForce>> {
-    for _ in 0..REVISION_LOOKS {
+/// Waits until the revision in force is at least `revision`: the sender may have received it
+/// slightly earlier.
+async fn await_revision(node: &Rc<Node>, revision: u64) -> Option<Arc<InForce>> {
+    for _ in 0..MAX_REVISION_CHECKS {
         if let Some(in_force) = node.in_force() {
             if in_force.configuration.head.revision >= revision {
                 return Some(in_force);
             }
         }
-        task::sleep(REVISION_LOOK).await;
+        task::sleep(REVISION_CHECK_INTERVAL).await;
     }
     None
 }
 
-/// Notes which services' groups differ between two revisions: their keys may have moved.
+/// Records the groups of services that another revision has changed: their keys may have other
+/// coordinators now.
 pub fn record_former_groups(node: &Rc<Node>, before: Option<&InForce>, after: &InForce) {
     let Some(before) = before else {
         return;
@@ -93,25 +97,26 @@
             .map_or(&[][..], |service| after.declarations.upstreams(service));
         if old != new {
             let groups = former_groups.entry(service.name.clone()).or_default();
-            groups.retain(|(at, _)| now.since(*at) <= KEY_RETENTION_US);
+            groups.retain(|(replaced_at, _)| now.since(*replaced_at) <= KEY_RETENTION_US);
             groups.push((now, old.to_vec()));
         }
     }
 }
 
-/// Another coordinator asks this node for a key.
+/// Handles the claim of another coordinator for a key.
 pub fn on_claim(node: &Rc<Node>, from: &Name, id: AttemptId, key: KeyHash, reply: &Reply) {
-    let granted = grant(node, key, from, id.boot);
-    reply.send(node, Frame::Claimed { id, reply: granted });
+    let result = grant(node, key, from, id.boot);
+    reply.send(node, Frame::Claimed { id, reply: result });
 }
 
-/// Takes in another node's answer to a claim.
+/// Handles another node's reply to a claim.
 pub fn on_claim_reply(node: &Rc<Node>, id: AttemptId, reply: ClaimReply<SharedAnswer>) {
     if let Some((tx, _)) = node.claim_waiters.borrow().get(&id) {
         tx.try_send(reply).ok();
     }
 }
 
+/// Grants a key to the node on `vm`, or replies why it is not granted.
 fn grant(node: &Rc<Node>, key: KeyHash, vm: &Name, by: BootId) -> ClaimReply<SharedAnswer> {
     let now = node.now();
     if node.was_paused() {
@@ -133,6 +138,7 @@
     }
 }
 
+/// The order in which the nodes of a service's group coordinate a key.
 fn ranking(in_force: &InForce, service: &Name, key: &str) -> Option<Vec<Name>> {
     let declared = in_force.declarations.services.get(service)?;
     Some(ranked(
@@ -142,7 +148,7 @@
     ))
 }
 
-/// Gives the key back where it was granted.
+/// Releases the key at the nodes that have granted it.
 fn release(node: &Rc<Node>, key: KeyHash, members: &[Name]) {
     let by = node.boot;
     for vm in members {
@@ -154,25 +160,28 @@
     }
 }
 
-/// One request with its key.
-struct Work<'a> {
+/// A request with an idempotency key that this node coordinates.
+struct KeyedRequest<'a> {
     node: &'a Rc<Node>,
     in_force: &'a InForce,
     key: KeyHash,
-    standing: CoordinatorView,
-    received: Moment,
+    view: CoordinatorView,
+    received_at: Moment,
     deadline: Moment,
     relay: Relay,
 }
 
-impl Work<'_> {
+impl KeyedRequest<'_> {
     async fn run(self) -> RelayOutcome {
         let node = self.node;
         let now = node.now();
-        let claim = self.standing.must_claim();
-        let sent = self.received - self.relay.waited_us;
-        let begin = node.keys.borrow_mut().begin(now, self.key, sent, claim);
-        match begin {
+        let must_claim = self.view.must_claim();
+        let sent_at = self.received_at - self.relay.waited_us;
+        let action = node
+            .keys
+            .borrow_mut()
+            .begin(now, self.key, sent_at, must_claim);
+        match action {
             KeyAction::Run => self.run_first(false).await,
             KeyAction::Claim => match self.claim_all().await {
                 ClaimReply::Granted => self.run_first(true).await,
@@ -186,12 +195,12 @@
         }
     }
 
-    /// Asks every node that may have run the key; the key is ours when all grant it.
+    /// Claims the key from every node that may have run it. This node has the key when all grant it.
     async fn claim_all(&self) -> ClaimReply<SharedAnswer> {
-        let asked = self.standing.claim_targets().map(|vm| self.claim_one(vm));
-        let reply = combine_replies(join_all(asked).await);
+        let claims = self.view.claim_targets().map(|vm| self.claim_one(vm));
+        let reply = combine_replies(join_all(claims).await);
         if reply != ClaimReply::Granted {
-            release(self.node, self.key, &self.standing.members);
+            release(self.node, self.key, &self.view.members);
         }
         reply
     }
@@ -213,13 +222,14 @@
         }
     }
 
+    /// Runs the request as the first one with its key.
     async fn run_first(self, claimed: bool) -> RelayOutcome {
         let node = self.node;
         let treatment = Treatment {
             repeatable: false,
             priority: self.relay.priority,
             max_runs: 1,
-            max_arrivals: MOST_ARRIVALS,
+            max_arrivals: MAX_ARRIVALS,
             origin: Origin::Client,
         };
         let plan = CallPlan {
@@ -242,12 +252,12 @@
         outcome
     }
 
-    /// The first in the ranking may have an earlier try of this key in its buffers: the key stays
-    /// claimed until that try's deadline has passed, so that "not run" remains true.
+    /// The first node in the ranking may have an earlier try with this key in its buffers. The key
+    /// stays claimed until the deadline of that try has passed, so that "not run" remains true.
     fn release_later(&self) {
         let node = self.node.clone();
         let key = self.key;
-        let members = self.standing.members.clone();
+        let members = self.view.members.clone();
         local::spawn(async move {
             task::sleep(Duration::from_micros(MAX_KEY_DEADLINE_US)).await;
             if !node.keys.borrow().contains(key) {
@@ -261,20 +271,20 @@
         self.node
             .candidates(self.in_force, service)
             .into_iter()
-            .filter(|candidate| self.standing.may_run_at(&candidate.vm))
+            .filter(|candidate| self.view.may_run_at(&candidate.vm))
             .collect()
     }
 
-    /// Records the end of the key's run and tells whoever waits for it.
+    /// Records the outcome of the key's run and sends it to the requests that wait for it.
     fn end(&self, outcome: RelayOutcome) -> RelayOutcome {
         let node = self.node;
-        let end = match &outcome {
+        let key_outcome = match &outcome {
             RelayOutcome::Answered(answer) => KeyOutcome::Answered(answer.clone()),
             RelayOutcome::NotRun(_) => KeyOutcome::NotRun,
             RelayOutcome::Unknown(_) => KeyOutcome::Unknown,
         };
         let now = node.now();
-        node.keys.borrow_mut().end(now, self.key, end);
+        node.keys.borrow_mut().end(now, self.key, key_outcome);
         let waiters = node.key_waiters.borrow_mut().remove(&self.key);
         for tx in waiters.unwrap_or_default() {
             tx.try_send(outcome.clone()).ok();
@@ -298,7 +308,7 @@
     }
 }
 
-/// "Not run" holds for a key only if a node that remembers the key's runs has said so.
+/// "Not run" holds for a key only if a node that remembers the key's runs has reported it.
 fn outcome(finished: CallResult) -> RelayOutcome {
     match finished.outcome {
         Some(Outcome::Answered(answer)) => RelayOutcome::Answered(answer),
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request at the upstream beside this node: what the upstream is told, and what its answer means.
+//! One request at the local upstream: the headers that it is sent, and what its answer means.
 
 use crate::containment;
 use crate::entry_driver::on_load_report;
@@ -16,31 +16,32 @@
 use upstream::{ExchangeOptions, Failure, Pool};
 use wire::Answer;
 
-/// Names the attempt to an upstream whose platform lists the VMs.
+/// Header that names the attempt to an upstream, where the platform lists the VMs.
 const ATTEMPT_HEADER: &str = "drumwheel-attempt";
-/// Status by which an upstream says that another run of it was meant; it has not run the request.
+/// Status of an upstream that is not the instance that was meant; it has not run the request.
 const WRONG_INSTANCE: u16 = 421;
 
-/// One exchange with the upstream, and what it means for the attempt.
+/// Exchanges one request with the upstream and returns the verdict on the attempt, with its answer
+/// if there is one.
 pub async fn run(node: &Rc<Node>, id: AttemptId, job: &Job) -> (Verdict, Option<Answer>) {
     let Some(pool) = node.pool.clone() else {
         return (Verdict::NotSent, None);
     };
-    let left = node.clock.time_until(job.deadline);
+    let remaining = node.clock.time_until(job.deadline);
     let overrun_us = node.cfg.overrun_ms * MILLISECOND;
     let expected = node
         .registration
         .as_deref()
         .and_then(registration::local_incarnation);
-    let options = options(node, id, job, left, expected.as_ref());
-    let start = pool.incarnation_count();
+    let options = options(node, id, job, remaining, expected.as_ref());
+    let incarnation = pool.incarnation_count();
     let exchange = pool.exchange(&job.req, &options);
     match node
         .clock
         .timeout_at(job.deadline + overrun_us, exchange)
         .await
     {
-        Ok(Ok(answer)) => judge(node, id, job, expected.as_ref(), answer),
+        Ok(Ok(answer)) => evaluate_answer(node, id, job, expected.as_ref(), answer),
         Ok(Err(Failure::NotSent(error))) => {
             stats::upstream_failed("not-sent");
             tracing::info!(id = %job.req.id, %error, "the upstream was not reached");
@@ -48,13 +49,16 @@
         }
         Ok(Err(Failure::Broken(error))) => {
             stats::upstream_failed("broken");
-            tracing::info!(id = %job.req.id, %error, "the upstream broke off");
-            let broke = Break {
-                start,
+            tracing::info!(id = %job.req.id, %error, "the connection to the upstream broke");
+            let failure = BrokenExchange {
+                incarnation,
                 at: node.now(),
                 cause: error,
             };
-            (end_of(node, &pool, expected.as_ref(), broke).await, None)
+            (
+                classify_break(node, &pool, expected.as_ref(), failure).await,
+                None,
+            )
         }
         Err(_) => {
             stats::upstream_failed("overrun");
@@ -63,30 +67,38 @@
     }
 }
 
-/// An exchange that broke.
-struct Break {
-    /// Which start of the upstream it was with.
-    start: u64,
+/// A broken exchange.
+struct BrokenExchange {
+    /// Number of the incarnation that it was with.
+    incarnation: u64,
     at: Moment,
     cause: Error,
 }
 
-/// Tells the end of one exchange from the end of the upstream, under which what was at work may be what ended it. One
-/// that was to leave ends as planned, and says nothing against a request.
-async fn end_of(
+/// Distinguishes the break of one exchange from a crash of the upstream, of which a request that
+/// was running may be the cause. A draining upstream exits as planned, which makes no request
+/// suspect.
+async fn classify_break(
     node: &Rc<Node>,
     pool: &Pool,
     instance: Option<&Incarnation>,
-    broke: Break,
+    failure: BrokenExchange,
 ) -> Verdict {
-    let has_ended = pool.incarnation_count() == broke.start && pool.has_terminated().await;
-    if !has_ended || node.is_draining() {
+    let has_terminated =
+        pool.incarnation_count() == failure.incarnation && pool.has_terminated().await;
+    if !has_terminated || node.is_draining() {
         return Verdict::Broken;
     }
     if is_cold(node) {
         stats::overload_crash();
     }
-    containment::on_upstream_termination(node, broke.start, instance, broke.at, &broke.cause);
+    containment::on_upstream_termination(
+        node,
+        failure.incarnation,
+        instance,
+        failure.at,
+        &failure.cause,
+    );
     Verdict::Ended
 }
 
@@ -97,16 +109,19 @@
         .is_some_and(|home| home.cold_limiter().is_cold(now))
 }
 
-/// What the upstream is told beside the request; `expected` is the start of it that is meant.
+/// Headers and other options of the exchange; `expected` is the incarnation that is meant.
 fn options<'a>(
     node: &'a Node,
     id: AttemptId,
     job: &'a Job,
-    left: Duration,
+    remaining: Duration,
     expected: Option<&Incarnation>,
 ) -> ExchangeOptions<'a> {
     let names = &node.cfg.headers;
-    let mut headers = vec![(names.deadline_ms.as_str(), left.as_millis().to_string())];
+    let mut headers = vec![(
+        names.deadline_ms.as_str(),
+        remaining.as_millis().to_string(),
+    )];
     match &node.registration {
         Some(_) => {
             let name = names.expected_instance.as_deref();
@@ -128,8 +143,8 @@
     }
 }
 
-/// Reads what a registered upstream says of itself in an answer.
-fn judge_registered(
+/// Handles an answer of a registered upstream: its notices and reports, and the verdict.
+fn evaluate_registered_answer(
     node: &Rc<Node>,
     id: AttemptId,
     job: &Job,
@@ -143,9 +158,13 @@
             .instance
             .as_deref()
             .and_then(|name| http1::header_value(&answer.headers, name));
-        tracing::info!(?expected, other, "another upstream stands at the address");
+        tracing::info!(
+            ?expected,
+            other,
+            "another instance of the upstream is at the address"
+        );
         if let Some(expected) = expected {
-            // The one that was meant, which need not be the one that stands here by now.
+            // `expected` is the incarnation that was meant; another one may be local by now.
             if registration.local.borrow_mut().mark_absent(expected) {
                 registration::on_local_change(node, registration, PriorStarts::Until(node.started));
             }
@@ -157,7 +176,7 @@
         upstream_notices::on_departure(node, id, registration, expected);
     }
     if let Some(percent) = reported_slow_percent(node, &answer) {
-        slowness(node, percent);
+        on_slowdown(node, percent);
     }
     let not_run = names.not_run.as_deref();
     if not_run.is_some_and(|name| http1::header_value(&answer.headers, name).is_some()) {
@@ -171,36 +190,37 @@
     (verdict, Some(answer))
 }
 
-/// How long work takes at the upstream by what its answer says, in hundredths of the usual.
+/// How long work takes at the upstream by its answer, in percent of the typical time.
 pub fn reported_slow_percent(node: &Node, answer: &Answer) -> Option<u32> {
     let name = node.cfg.headers.load.as_deref()?;
     slow_percent(http1::header_value(&answer.headers, name)?)
 }
 
-/// The fourth figure of a load header: how long work takes, in hundredths of the usual.
+/// The fourth field of a load header: how long work takes, in percent of the typical time.
 fn slow_percent(load: &str) -> Option<u32> {
     load.split(',').nth(3)?.trim().parse().ok()
 }
 
-/// Takes in how slow the upstream says that it is. Other nodes learn it with what they are told anyway: telling
-/// each change to the hall brought nothing (at most 0.005 of the worth either way on four sites of 13 VMs), and
-/// at 295 VMs was nine in ten of the messages between nodes.
-fn slowness(node: &Rc<Node>, percent: u32) {
+/// Applies the slowdown that the upstream reports. Other nodes learn it from messages that are sent
+/// anyway. Sending each change to the hall changed the value served by at most 0.005 either way in
+/// four deployments of 13 VMs, and made up nine in ten of the messages between nodes at 295 VMs.
+fn on_slowdown(node: &Rc<Node>, percent: u32) {
     let now = node.now();
-    let told = |home: &mut Home<SharedAnswer>| home.slowdown_reported(now, percent);
-    let changed = node.home.borrow_mut().as_mut().is_some_and(told);
+    let apply = |home: &mut Home<SharedAnswer>| home.slowdown_reported(now, percent);
+    let changed = node.home.borrow_mut().as_mut().is_some_and(apply);
     if changed {
         slowdown_changed(node);
     }
 }
 
-/// Takes in for this node's own choices that the pace of the upstream beside it has changed.
+/// Applies a changed slowdown of the local upstream to this node's own selection of upstreams.
 pub fn slowdown_changed(node: &Rc<Node>) {
     on_load_report(node, &node.cfg.vm, node.load());
 }
 
-/// Reads the headers by which an upstream says that it leaves or did not start the request.
-fn judge(
+/// Handles an answer of the upstream: its notices, and the headers by which it reports that it is
+/// draining or has not started the request.
+fn evaluate_answer(
     node: &Rc<Node>,
     id: AttemptId,
     job: &Job,
@@ -208,7 +228,7 @@
     mut answer: Answer,
 ) -> (Verdict, Option<Answer>) {
     if let Some(registration) = &node.registration {
-        return judge_registered(node, id, job, registration, expected, answer);
+        return evaluate_registered_answer(node, id, job, registration, expected, answer);
     }
     upstream_notices::on_answer(node, &job.req.id, &answer);
     let in_force = node.in_force();
@@ -218,12 +238,12 @@
     let Some(service) = service else {
         return (Verdict::Good, Some(answer));
     };
-    let drains = take_header(&mut answer, service.drain_header.as_deref());
-    if drains != node.drained_by_upstream.get() {
-        node.drained_by_upstream.set(drains);
+    let is_draining = remove_header(&mut answer, service.drain_header.as_deref());
+    if is_draining != node.drained_by_upstream.get() {
+        node.drained_by_upstream.set(is_draining);
         update_drain_state(node);
     }
-    if take_header(&mut answer, service.shed_header.as_deref()) {
+    if remove_header(&mut answer, service.shed_header.as_deref()) {
         return (Verdict::Shed, None);
     }
     answer
@@ -237,7 +257,8 @@
     (verdict, Some(answer))
 }
 
-fn take_header(answer: &mut Answer, name: Option<&str>) -> bool {
+/// Removes a header from the answer. Returns whether it was there.
+fn remove_header(answer: &mut Answer, name: Option<&str>) -> bool {
     let Some(name) = name else {
         return false;
     };
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of the home duty.
+//! Drives the home duty: passes it offers, queries and ticks, and performs its actions.
 
 use crate::boot_record;
 use crate::containment;
@@ -27,18 +27,18 @@
 use std::time::Duration;
 use wire::{Answer, Frame, Request};
 
-/// Told to callers whose attempt is refused before the home duty sees it, in milliseconds.
-const DOOR_RETRY_AFTER_MS: u64 = 1_000;
-/// Time between two tries to reach the successor of an upstream that was leaving.
-const SUCCESSOR_LOOK: Duration = Duration::from_millis(500);
-/// Time between two looks at a queue that holds something.
+/// Retry-after value of an attempt that is refused before the home duty sees it, in milliseconds.
+const EARLY_REFUSAL_RETRY_AFTER_MS: u64 = 1_000;
+/// Interval of attempts to connect to the successor of a draining upstream.
+const SUCCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Tick interval while requests are queued.
 const QUEUE_TICK: Duration = Duration::from_millis(5);
-/// A suspension of the VM that is told in a line, in microseconds: shorter ones change nothing that is decided.
-const NOTED_SUSPENSION_US: u64 = 100 * MILLISECOND;
-/// Time between two looks at an empty queue.
+/// Shortest suspension of the VM that is logged, in microseconds; shorter ones affect no decision.
+const MIN_LOGGED_SUSPENSION_US: u64 = 100 * MILLISECOND;
+/// Tick interval while the queue is empty.
 const IDLE_TICK: Duration = Duration::from_millis(20);
 
-/// Takes in an offer of the node at `from` and does what the home duty decides.
+/// Handles an offer from the node on `from` as the home duty decides.
 pub fn on_offer(
     node: &Rc<Node>,
     from: &Name,
@@ -53,15 +53,15 @@
         ..offer
     };
     if let Some(refusal) = containment::early_refusal(node, &offer, &req) {
-        refuse_at_door(node, offer.id, refusal, &reply);
+        refuse_early(node, offer.id, refusal, &reply);
         return;
     }
-    if let Some(reason) = barred(node, from, &offer, key) {
+    if let Some(reason) = early_refusal(node, from, &offer, key) {
         let refusal = Refusal {
             reason,
-            retry_after_ms: DOOR_RETRY_AFTER_MS,
+            retry_after_ms: EARLY_REFUSAL_RETRY_AFTER_MS,
         };
-        refuse_at_door(node, offer.id, refusal, &reply);
+        refuse_early(node, offer.id, refusal, &reply);
         return;
     }
     let job = Job {
@@ -83,23 +83,28 @@
     upstream_notices::restore_limit(node, from, &offer);
     node.jobs.borrow_mut().entry(id).or_insert(job);
     with_home(node, |home| home.offer(now, &offer));
-    let waits = |home: &Home<SharedAnswer>| home.is_queued(id);
-    if node.home.borrow().as_ref().is_some_and(waits) {
-        audit_home(node, id, "queued", None);
+    let is_queued = |home: &Home<SharedAnswer>| home.is_queued(id);
+    if node.home.borrow().as_ref().is_some_and(is_queued) {
+        log_decision(node, id, "queued", None);
     }
-    let taken_in = node
+    let is_accepted = node
         .home
         .borrow()
         .as_ref()
         .is_some_and(|home| home.is_active(id));
-    if !taken_in {
-        // An offer that came too late gets no answer, and its request must not stay.
+    if !is_accepted {
+        // An offer that arrived too late gets no answer, and its job must not be kept.
         node.jobs.borrow_mut().remove(&id);
     }
 }
 
-/// Why an attempt is refused before the home duty sees it.
-fn barred(node: &Rc<Node>, from: &Name, offer: &Offer, key: Option<KeyHash>) -> Option<Reason> {
+/// Why an attempt is refused before the home duty sees it, if it is.
+fn early_refusal(
+    node: &Rc<Node>,
+    from: &Name,
+    offer: &Offer,
+    key: Option<KeyHash>,
+) -> Option<Reason> {
     if node.home.borrow().is_none() {
         return Some(Reason::NoUpstream);
     }
@@ -122,8 +127,9 @@
     }
 }
 
-/// The attempt has no record here: a question about it must find it refused.
-fn refuse_at_door(node: &Rc<Node>, id: AttemptId, refusal: Refusal, reply: &Reply) {
+/// Refuses an attempt that the home duty has not seen. The query makes the home duty record it as
+/// not run, which later queries then find.
+fn refuse_early(node: &Rc<Node>, id: AttemptId, refusal: Refusal, reply: &Reply) {
     stats::attempt_refused(refusal.reason.as_str());
     let now = node.now();
     if let Some(home) = node.home.borrow_mut().as_mut() {
@@ -133,8 +139,8 @@
     reply.send(node, Frame::Refused { id, refusal, load });
 }
 
-/// Answers a question about an attempt that was offered to `boot`.
-pub fn on_query(node: &Rc<Node>, id: AttemptId, boot: BootId, route: Reply) {
+/// Answers a query about an attempt that was offered to `boot`.
+pub fn on_query(node: &Rc<Node>, id: AttemptId, boot: BootId, reply_to: Reply) {
     let now = node.now();
     let reply = node
         .home
@@ -143,15 +149,15 @@
         .map_or(QueryReply::Forgotten, |home| home.query(now, id, boot));
     if reply == QueryReply::Started {
         if let Some(job) = node.jobs.borrow_mut().get_mut(&id) {
-            job.reply = route.clone();
+            job.reply = reply_to.clone();
         }
     } else {
         node.jobs.borrow_mut().remove(&id);
     }
-    route.send(node, Frame::Told { id, reply });
+    reply_to.send(node, Frame::Told { id, reply });
 }
 
-/// Drops a queued attempt; a running one is cut off only if it may run more than once.
+/// Drops a queued attempt; a running one is aborted only if it may run more than once.
 pub fn cancel(node: &Rc<Node>, id: AttemptId) {
     let now = node.now();
     let running = node
@@ -173,7 +179,7 @@
     }
 }
 
-/// Takes an attempt back that has not started, and cuts a running one off that may run more than once.
+/// Refuses a queued attempt; a running one is aborted if it may run more than once.
 pub fn withdraw(node: &Rc<Node>, id: AttemptId, refusal: Refusal) {
     let is_queued = |home: &Home<SharedAnswer>| home.is_queued(id);
     if node.home.borrow().as_ref().is_some_and(is_queued) {
@@ -187,34 +193,34 @@
     }
 }
 
-/// Takes in that another run of the upstream stands beside this node.
-pub fn upstream_replaced(node: &Rc<Node>, run: &registry::Instance, earlier: PriorStarts) {
-    match run.address.parse() {
+/// Handles the replacement of the local upstream by another incarnation.
+pub fn upstream_replaced(node: &Rc<Node>, new: &registry::Instance, prior: PriorStarts) {
+    match new.address.parse() {
         Ok(address) => {
             if let Some(pool) = &node.pool {
-                pool.upstream_replaced(address, run.slots as usize);
+                pool.upstream_replaced(address, new.slots as usize);
             }
             if let Some(pool) = &node.probe_pool {
                 pool.upstream_replaced(address, 1);
             }
         }
         Err(error) => {
-            tracing::warn!(address = run.address, %error, "an upstream has no usable address");
+            tracing::warn!(address = new.address, %error, "the upstream's address is invalid");
         }
     }
     let now = node.now();
-    with_home(node, |home| home.upstream_replaced(now, run.slots, earlier));
+    with_home(node, |home| home.upstream_replaced(now, new.slots, prior));
     update_cold_capacity(node);
 }
 
-/// Brings in line with the declarations in force how many starts the upstream beside this node bears while it is cold.
+/// Sets how many starts the local upstream sustains while it is cold, from the declarations in force.
 pub fn update_cold_capacity(node: &Node) {
     if let Some(home) = node.home.borrow_mut().as_mut() {
         home.set_cold_capacity(cold_capacity(node));
     }
 }
 
-/// What the upstream bears while it is cold; nothing before any declarations are known.
+/// The starts that the upstream sustains while it is cold; none before any declarations are known.
 fn cold_capacity(node: &Node) -> ColdCapacity {
     let Some(registration) = &node.registration else {
         return ColdCapacity::Unlimited;
@@ -236,41 +242,42 @@
     }
 }
 
-/// Takes in the upstream's own registration: how much longer it is cold, in milliseconds.
+/// Handles the registration of the upstream, which reports how much longer it is cold, in
+/// milliseconds.
 pub fn cold_reported(node: &Node, cold_ms: u64) {
     let now = node.now();
-    noting_cold(node, "registration", || {
+    log_cold_change(node, "registration", || {
         if let Some(home) = node.home.borrow_mut().as_mut() {
             home.cold_reported(now, cold_ms * MILLISECOND);
         }
     });
 }
 
-/// Writes a line when the upstream is cold by a word that it was not by before, or warm.
-fn noting_cold(node: &Node, source: &'static str, take_in: impl FnOnce()) {
-    let left_us = || {
+/// Applies a report from `source` and logs when the upstream has become cold or warm by it.
+fn log_cold_change(node: &Node, source: &'static str, apply: impl FnOnce()) {
+    let remaining_us = || {
         let now = node.now();
         let home = node.home.borrow();
         home.as_ref()
             .map_or(0, |home| home.cold_limiter().left_us(now))
     };
-    let before_us = left_us();
-    take_in();
-    let after_us = left_us();
+    let before_us = remaining_us();
+    apply();
+    let after_us = remaining_us();
     if (before_us > 0) != (after_us > 0) {
         audit::cold_state_changed(after_us, source);
     }
 }
 
-/// Brings the home duty in line with what the sources say of leaving, and tells connected peers.
+/// Starts or ends draining at the home duty when the state has changed, and notifies connected peers.
 pub fn update_drain_state(node: &Rc<Node>) {
     let leaving = node.is_draining();
     let now = node.now();
-    let before = node.load().leaving;
-    if node.home.borrow().is_none() || before == leaving {
+    let was_leaving = node.load().leaving;
+    if node.home.borrow().is_none() || was_leaving == leaving {
         return;
     }
-    tracing::info!(leaving, "the upstream's state changed");
+    tracing::info!(leaving, "the upstream's drain state changed");
     with_home(node, |home| {
         if leaving {
             home.start_drain(now)
@@ -286,45 +293,46 @@
     }
 }
 
-/// Finds out that an upstream which was leaving has ended and another stands in its place. A
-/// connection is a measuring act; without a budget an operator has to say so.
+/// Detects that a draining upstream has exited and another has taken its place, by connecting to
+/// it. Opening a connection is a measuring act; without a budget for it an operator has to end the
+/// drain.
 pub async fn run_successor_watch(node: Rc<Node>) {
     let Some(pool) = node.pool.clone() else {
         return;
     };
-    let mut gone = false;
+    let mut has_exited = false;
     loop {
-        task::sleep(SUCCESSOR_LOOK).await;
+        task::sleep(SUCCESSOR_CHECK_INTERVAL).await;
         if !node.drained_by_upstream.get() {
-            gone = false;
+            has_exited = false;
             continue;
         }
         let now = node.now();
         if !node.gate.borrow_mut().spend(now, Act::CONNECT) {
             continue;
         }
-        let reached = pool.can_connect().await;
-        if reached && gone {
+        let is_reachable = pool.can_connect().await;
+        if is_reachable && has_exited {
             node.drained_by_upstream.set(false);
             update_drain_state(&node);
         }
-        gone |= !reached;
+        has_exited |= !is_reachable;
     }
 }
 
-/// Lets the home duty's time pass.
+/// Ticks the home duty, and detects pauses of the process and suspensions of the VM.
 pub async fn run_ticks(node: Rc<Node>) {
     let mut suspended_us = 0;
     loop {
-        let busy = node
+        let has_queue = node
             .home
             .borrow()
             .as_ref()
             .is_some_and(|home| home.has_queue());
-        task::sleep(if busy { QUEUE_TICK } else { IDLE_TICK }).await;
+        task::sleep(if has_queue { QUEUE_TICK } else { IDLE_TICK }).await;
         let suspended_before_us = std::mem::replace(&mut suspended_us, node.clock.suspended_us());
         let suspension_us = suspended_us.saturating_sub(suspended_before_us);
-        if suspension_us > NOTED_SUSPENSION_US {
+        if suspension_us > MIN_LOGGED_SUSPENSION_US {
             audit::vm_suspended(suspension_us);
         }
         let now = node.now();
@@ -342,23 +350,23 @@
     }
 }
 
-/// Takes in what a look at the upstream's pace brought.
-pub fn probe_finished(node: &Rc<Node>, probed: ProbeResult) {
+/// Handles the result of a health probe of the upstream.
+pub fn probe_finished(node: &Rc<Node>, result: ProbeResult) {
     let now = node.now();
-    let before = node.load().slow_percent;
-    noting_cold(node, "look", || {
-        with_home(node, |home| home.probe_finished(now, probed));
+    let percent_before = node.load().slow_percent;
+    log_cold_change(node, "look", || {
+        with_home(node, |home| home.probe_finished(now, result));
     });
-    let told = match probed {
+    let reported = match result {
         ProbeResult::Reported { percent, .. } => percent,
         _ => None,
     };
-    if told.is_some_and(|percent| percent != before) {
+    if reported.is_some_and(|percent| percent != percent_before) {
         exchange::slowdown_changed(node);
     }
 }
 
-/// Carries out what the home duty decides, if there is one.
+/// Lets the home duty decide, if there is one, and performs its actions.
 pub fn with_home(node: &Rc<Node>, decide: impl FnOnce(&mut Home<SharedAnswer>) -> Vec<Action>) {
     let actions = match node.home.borrow_mut().as_mut() {
         Some(home) => decide(home),
@@ -372,7 +380,7 @@
 fn perform(node: &Rc<Node>, action: Action) {
     match action {
         Action::Start(id) => {
-            audit_home(node, id, "started", None);
+            log_decision(node, id, "started", None);
             start(node, id);
         }
         Action::Probe => look::start(node),
@@ -384,20 +392,20 @@
                 true => "refused for another account",
                 false => "refused",
             };
-            audit_home(node, id, decision, Some(refusal.reason));
+            log_decision(node, id, decision, Some(refusal.reason));
             let load = node.load();
             end_job(node, id, Frame::Refused { id, refusal, load });
         }
         Action::Revoke(id) => {
-            audit_home(node, id, "handed back", None);
+            log_decision(node, id, "handed back", None);
             let load = node.load();
             end_job(node, id, Frame::Revoked { id, load });
         }
     }
 }
 
-/// How long the attempt waited for a slot, and how long it took at the upstream.
-fn measure(node: &Node, job: &Job, frame: &Frame) {
+/// Records how long the attempt waited for a slot and how long it took at the upstream.
+fn record_latency(node: &Node, job: &Job, frame: &Frame) {
     let outcome = match frame {
         Frame::Answered { .. } => "answered",
         Frame::Broken { .. } => "broken",
@@ -417,12 +425,12 @@
     }
 }
 
-fn audit_home(node: &Rc<Node>, id: AttemptId, decision: &str, reason: Option<Reason>) {
+fn log_decision(node: &Rc<Node>, id: AttemptId, decision: &str, reason: Option<Reason>) {
     let jobs = node.jobs.borrow();
     let caller_id = jobs.get(&id).map_or("-", |job| job.req.id.as_str());
     let now = node.now();
     let home = node.home.borrow();
-    let pace_age_us = home.as_ref().and_then(|home| home.slowdown().age_us(now));
+    let slowdown_age_us = home.as_ref().and_then(|home| home.slowdown().age_us(now));
     let load = home
         .as_ref()
         .map_or_else(Load::default, |home| home.load(now));
@@ -431,13 +439,21 @@
         .and_then(|job| fair_share_account(node, &job.req));
     let account_load = home.as_ref().map(|home| home.account_load(&account));
     let account = account.as_ref().zip(account_load);
-    audit::attempt_decided(caller_id, id, decision, reason, load, pace_age_us, account);
+    audit::attempt_decided(
+        caller_id,
+        id,
+        decision,
+        reason,
+        load,
+        slowdown_age_us,
+        account,
+    );
 }
 
 fn end_job(node: &Rc<Node>, id: AttemptId, frame: Frame) {
     let job = node.jobs.borrow_mut().remove(&id);
     if let Some(job) = job {
-        measure(node, &job, &frame);
+        record_latency(node, &job, &frame);
         job.reply.send(node, frame);
     }
 }
@@ -459,22 +475,22 @@
     local::spawn(async move {
         let work = pin!(exchange::run(&node, id, &job));
         let cancelled = pin!(rx.recv());
-        let watched = pin!(straggling::watch(&node, id));
-        let ended = match select(select(work, cancelled), watched).await {
-            Either::Left((ended, _)) => ended,
-            Either::Right(((), ended)) => ended.await,
+        let straggler_watch = pin!(straggling::watch(&node, id));
+        let result = match select(select(work, cancelled), straggler_watch).await {
+            Either::Left((result, _)) => result,
+            Either::Right(((), work)) => work.await,
         };
-        match ended {
+        match result {
             Either::Left(((verdict, answer), _)) => finish(&node, id, verdict, answer),
             Either::Right(_) => finish(&node, id, Verdict::Cancelled, None),
         }
     });
 }
 
-/// Records the end of a running attempt, then tells it.
+/// Records the end of a running attempt, then sends its result.
 fn finish(node: &Rc<Node>, id: AttemptId, verdict: Verdict, answer: Option<Answer>) {
     let now = node.now();
-    audit_home(node, id, verdict.as_str(), None);
+    log_decision(node, id, verdict.as_str(), None);
     if matches!(verdict, Verdict::Shed | Verdict::NotSent) {
         let jobs = node.jobs.borrow();
         if let Some(key) = jobs.get(&id).and_then(|job| job.key) {
@@ -488,8 +504,8 @@
         _ => {}
     }
     let answer = answer.map(Arc::new);
-    let kept = answer.clone();
-    with_home(node, |home| home.completed(now, id, verdict, kept));
+    let recorded = answer.clone();
+    with_home(node, |home| home.completed(now, id, verdict, recorded));
     let load = node.load();
     match answer {
         Some(answer) => {
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The node: the only place with sockets, threads and a clock.
+//! The node's process: the only crate with sockets, threads and a clock.
 //!
-//! One thread runs it all: decisions are called in place, since a hand-over between threads costs
-//! more than they do (see `docs/DESIGN.md`). The operators' routes are joined to the duties by a
-//! bounded channel.
+//! One thread runs all duties. Decisions are plain function calls, since a hand-over between
+//! threads costs more than a decision (see `docs/DESIGN.md`). The operators' routes reach the
+//! duties through a bounded channel.
 
 mod activation;
 mod boot_record;
@@ -46,10 +46,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Runs a node until a stop signal has been obeyed. `adapter` translates for a platform whose nodes
+/// Runs a node until a stop signal has been handled. `adapter` translates for a platform whose nodes
 /// register; without one the platform lists the VMs.
 ///
-/// `source` reads the settings again.
+/// `source` reloads the settings.
 pub fn run(cfg: Settings, adapter: Option<Box<dyn Adapter>>, source: reload::Source) -> Result<()> {
     let prometheus = PrometheusBuilder::new()
         .set_buckets(stats::LATENCY_BUCKETS)
@@ -71,9 +71,9 @@
             None => spawn_listed(&node),
         }
         spawn_duties(&node, callers, peers, rx);
-        let follower = node.clone();
-        let changed = move || follower.fleet_changed();
-        local::spawn(reload::run(node.live.clone(), source, changed));
+        let reloaded = node.clone();
+        let on_change = move || reloaded.fleet_changed();
+        local::spawn(reload::run(node.live.clone(), source, on_change));
         local::spawn(served);
         stop::run(node, signals).await;
         Ok(())
@@ -99,14 +99,14 @@
     }
 }
 
-/// What a node does where the platform lists the VMs and operators write heads.
+/// Starts the tasks of a node whose platform lists the VMs and whose operators write heads.
 fn spawn_listed(node: &Rc<Node>) {
     local::spawn(home_driver::run_successor_watch(node.clone()));
     local::spawn(configuration::run_comparisons(node.clone()));
     local::spawn(boot_record::run(node.clone()));
 }
 
-/// What a node does where nodes and upstreams register.
+/// Starts the tasks of a node whose platform has nodes and upstreams register.
 async fn spawn_registered(node: &Rc<Node>, registration: &Rc<Registration>) -> Result<()> {
     if let Some(address) = node.cfg.ready {
         let ready = bind(address).await?;
@@ -131,7 +131,7 @@
     Ok(())
 }
 
-/// Tells at any moment whether a node takes callers' requests.
+/// Returns a function that tells whether a node accepts callers' requests.
 fn readiness(node: &Rc<Node>) -> Rc<dyn Fn() -> Readiness> {
     let node = node.clone();
     Rc::new(move || match node.in_force() {
--- a/components/daemon/src/local.rs
+++ b/components/daemon/src/local.rs
@@ -1,8 +1,8 @@
 //! The executor of the node's one thread.
 //!
-//! async-std's own executor starts further threads, and whichever of them waits for I/O hands each
-//! event over to the thread that runs the path. Here the thread that waits is the one that works.
-//! The parts are those async-std is made of.
+//! async-std's own executor starts further threads, and the one that waits for I/O hands each event
+//! over to the thread that processes the request. Here a single thread waits and processes. The
+//! components are those that async-std itself uses.
 
 use async_executor::LocalExecutor;
 use audit::stats;
@@ -14,13 +14,13 @@
     static EXECUTOR: LocalExecutor<'static> = const { LocalExecutor::new() };
 }
 
-/// Runs a future on this thread, beside the others.
+/// Runs a future on this thread, concurrently with the others.
 pub fn spawn(future: impl Future<Output = ()> + 'static) {
     EXECUTOR.with(|executor| executor.spawn(future).detach());
 }
 
-/// Runs what serves one connection or answers one question. A panic ends that alone: what caused it comes again, and
-/// would end the process each time.
+/// Runs a future that serves one connection or answers one query. A panic ends only this future. What
+/// caused it may recur, and would end the process each time.
 pub fn spawn_contained(what: &'static str, future: impl Future<Output = ()> + 'static) {
     spawn(async move {
         if AssertUnwindSafe(future).catch_unwind().await.is_err() {
@@ -30,7 +30,7 @@
     });
 }
 
-/// Runs a future and all that is spawned meanwhile, until the future ends.
+/// Runs a future, and all futures that are spawned meanwhile, until it ends.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     EXECUTOR.with(|executor| async_io::block_on(executor.run(future)))
 }
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -1,7 +1,8 @@
-//! Looks at what the upstream beside this node says of itself, when a start hangs on it.
+//! Health probes of the local upstream, sent when the start of an attempt depends on what it reports.
 //!
-//! A look is a measuring act and passes the budget. It goes over a connection that stays open, and the
-//! health check's path answers it without a slot.
+//! A probe is a measuring act and counts against the measuring budget. It is sent over a connection
+//! that is kept open, and the upstream answers at the path of the health check without using a
+//! slot.
 
 use crate::exchange;
 use crate::home_driver;
@@ -18,22 +19,22 @@
 use upstream::{ExchangeOptions, Failure};
 use wire::{Answer, Request};
 
-/// Longest wait for the answer: what a start may lose when the upstream does not answer at once. The
-/// users' upstreams answer in 1 to 2 ms.
+/// Timeout for the answer. A start may be delayed by this much when the upstream does not answer at
+/// once; upstreams normally answer in 1 to 2 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
-/// Status of an upstream that takes work.
+/// Status by which an upstream answers that it accepts work.
 const HEALTHY: u16 = 200;
 
-/// Asks the upstream how long work takes there, and tells the home duty.
+/// Probes the upstream and passes the result to the home duty.
 pub fn start(node: &Rc<Node>) {
     let node = node.clone();
     local::spawn(async move {
-        let probed = ask(&node).await;
-        home_driver::probe_finished(&node, probed);
+        let result = probe(&node).await;
+        home_driver::probe_finished(&node, result);
     });
 }
 
-async fn ask(node: &Rc<Node>) -> ProbeResult {
+async fn probe(node: &Rc<Node>) -> ProbeResult {
     let Some(registration) = node.registration.clone() else {
         return ProbeResult::NoAnswer;
     };
@@ -41,7 +42,7 @@
         return ProbeResult::NoAnswer;
     };
     let Some(req) = request(node, &registration) else {
-        return failed("no path to ask at is declared");
+        return failed("the declarations name no health path");
     };
     let now = node.now();
     if !node.gate.borrow_mut().spend(now, Act::PROBE) {
@@ -59,10 +60,10 @@
         }
         Err(_) => return failed("no answer in time"),
     };
-    read(node, &registration, &answer)
+    read_answer(node, &registration, &answer)
 }
 
-/// The request for the health check's path, if the declarations name one.
+/// The request for the path of the health check, if the declarations name one.
 fn request(node: &Rc<Node>, registration: &Registration) -> Option<Request> {
     let service = {
         let local = registration.local.borrow();
@@ -82,8 +83,8 @@
     })
 }
 
-/// How long work takes, if the upstream that is expected here says so.
-fn read(node: &Rc<Node>, registration: &Registration, answer: &Answer) -> ProbeResult {
+/// Reads the slowdown and the remaining cold time from an answer of the expected upstream.
+fn read_answer(node: &Rc<Node>, registration: &Registration, answer: &Answer) -> ProbeResult {
     let names = &node.cfg.headers;
     let instance = names
         .instance
@@ -92,18 +93,19 @@
     let expected = registration::local_incarnation(registration);
     let expected = expected.as_ref().map(|expected| expected.id.as_str());
     if instance.is_some() && instance != expected {
-        return failed("another upstream answers");
+        return failed("the answer is from another instance of the upstream");
     }
     let percent = exchange::reported_slow_percent(node, answer);
     let cold_us = reported_cold_us(node, answer);
     if percent.is_none() && cold_us.is_none() {
-        return failed("the answer names neither load nor cold");
+        return failed("the answer reports neither load nor remaining cold time");
     }
     stats::probe_finished(ProbeOutcome::Answered);
     ProbeResult::Reported { percent, cold_us }
 }
 
-/// How much longer the upstream is cold by its answer, in microseconds. One that is well and says nothing of it is warm.
+/// How much longer the upstream is cold by its answer, in microseconds. A healthy one that does not
+/// report it is warm.
 fn reported_cold_us(node: &Node, answer: &Answer) -> Option<u64> {
     let name = node.cfg.headers.cold_ms.as_deref()?;
     match http1::header_value(&answer.headers, name) {
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -36,144 +36,146 @@
 use watch::{FirstRead, Timing, WaitingCallers, Watch};
 use wire::{Answer, RelayOutcome};
 
-/// Keys that a node remembers at most.
+/// Maximum number of idempotency keys that a node remembers.
 const MAX_KEYS: usize = 100_000;
-/// Whole answers kept for repeated keys.
+/// Maximum number of complete answers kept for repeated keys.
 const MAX_KEY_ANSWERS: usize = 256;
 
-/// Heartbeats to other nodes in a hall whose operators set no budget in this product's own form: a
-/// node at which something waits is asked a few times a second.
+/// Minimum budget for messages between the nodes of a hall per second where nodes register. The
+/// operators set no budget there, and a node with queued requests receives a few heartbeats per
+/// second.
 const REGISTERED_MESSAGES_PER_S: f64 = 400.0;
 
-/// Part of the looks that the operators allow: another start of the node may have used some of the
-/// same second's.
-const LOOKS_PART: f64 = 0.8;
+/// Fraction of the health probes that the operators allow per second. The rest is left for an
+/// earlier boot of the node, which may have sent some in the same second.
+const PROBE_RATE_FRACTION: f64 = 0.8;
 
-/// Regular work that is late by so much means that the process was paused, in microseconds.
+/// When the last tick is older than this, the process was paused, in microseconds.
 const PAUSE_US: u64 = 1_000 * MILLISECOND;
 
-/// The type of a whole answer in all state machines.
+/// A complete answer as the state machines share it.
 pub type SharedAnswer = Arc<Answer>;
 
-/// Questions to other nodes that wait for an answer: where it goes, and who was asked.
+/// Queries to other nodes that have not been answered: the channel for the reply, and the queried
+/// node.
 pub type PendingQueries<T> = HashMap<AttemptId, (Sender<T>, Name)>;
 
-/// Keys that a node knows, and for how long there may be others, in microseconds.
+/// Idempotency keys that a node knows, and for how long there may be others, in microseconds.
 pub type KnownKeys = (Vec<KeyHash>, u64);
 
-/// When a group ended, and its upstreams.
+/// An earlier group of a service: when it was replaced, and its upstreams.
 pub type FormerGroup = (Moment, Vec<Name>);
 
-/// Between the identity of a request and what a call made for it adds.
+/// Separates the id of a request from what a call made for it appends.
 const CHILD_SEPARATOR: char = '.';
 
-/// Everything that the tasks of a node share. One thread runs them all, so no lock is needed; a
-/// borrow never lives across an `await`.
+/// The state that the tasks of a node share. One thread runs them all, so no lock is needed. A borrow
+/// is never held across an `await`.
 pub struct Node {
-    /// Settings.
+    /// Settings as they were at the start.
     pub cfg: Settings,
-    /// The part of the settings that changes while the node runs.
+    /// Settings that can be reloaded while the node runs.
     pub live: Rc<RefCell<Live>>,
-    /// The name in which calls from this VM are made.
+    /// The service in whose name calls from this VM are made.
     pub caller_name: CallerName,
     /// Boot of this process.
     pub boot: BootId,
-    /// Clock.
+    /// The node's clock.
     pub clock: Clock,
     /// When this process started.
     pub started: Moment,
     /// Home duty, on a node that has an upstream.
     pub home: RefCell<Option<Home<SharedAnswer>>>,
-    /// Requests the home duty has taken in.
+    /// Requests that the home duty has accepted.
     pub jobs: RefCell<HashMap<AttemptId, Job>>,
     /// Connections to the upstream.
     pub pool: Option<Rc<Pool>>,
-    /// The connection over which the upstream is asked about itself.
+    /// The connection for health probes of the upstream.
     pub probe_pool: Option<Rc<Pool>>,
     /// Entry duty.
     pub entry: RefCell<Entry>,
-    /// Attempts that have not ended.
+    /// Offered attempts whose outcome is pending.
     pub waiters: RefCell<HashMap<AttemptId, Waiter>>,
-    /// Relays that have not ended, with the node they went to.
+    /// Relays whose outcome is pending, with the node that they were sent to.
     pub relays: RefCell<PendingQueries<RelayResult>>,
-    /// Claims that have not been answered.
+    /// Claims that wait for a reply.
     pub claim_waiters: RefCell<PendingQueries<ClaimReply<SharedAnswer>>>,
-    /// Questions of a new boot that have not been answered.
+    /// Queries for used keys, sent by a new boot, that wait for a reply.
     pub recoveries: RefCell<PendingQueries<Option<KnownKeys>>>,
-    /// Counter of relays and claims.
+    /// Sequence number of the next relay, claim or other query.
     next_query_seq: Cell<u64>,
     /// Connections to other nodes.
     pub links: RefCell<HashMap<Name, Link>>,
     /// Connections from other nodes.
     pub incoming: RefCell<HashMap<u64, Reply>>,
-    /// Idempotency keys this node coordinates.
+    /// Idempotency keys that this node coordinates.
     pub keys: RefCell<KeyTable<SharedAnswer>>,
-    /// Idempotency keys granted or run at the upstream beside this node.
+    /// Idempotency keys that this node has granted or that its local upstream has run.
     pub claims: RefCell<Claims>,
-    /// Relays that wait for the same key.
+    /// Relays that wait for a run of the same key.
     pub key_waiters: RefCell<HashMap<KeyHash, Vec<Sender<RelayOutcome>>>>,
     /// Measuring budget.
     pub gate: RefCell<Gate>,
     /// Declarations in force.
     pub rollout: RefCell<Rollout>,
-    /// Whom it asks for what it lacks.
+    /// From which node a newer revision is fetched.
     pub fetch: RefCell<Fetch>,
-    /// Groups that services had within the key window, with the time of their end.
+    /// Groups that services had within the key window, with the time at which they were replaced.
     pub former_groups: RefCell<HashMap<Name, Vec<FormerGroup>>>,
-    /// Fleet as this node sees it.
+    /// The VMs as the platform lists them.
     pub view: RefCell<View>,
-    /// Whether this node asks the platform for news.
+    /// Whether this node polls the platform for updates.
     pub watch: RefCell<Watch>,
-    /// The first read of the declarations, before which other work waits.
+    /// The first read of the declarations after the start; other work waits for it.
     pub first_read: RefCell<FirstRead>,
     /// Callers that wait for the first declarations.
     pub startup_waiters: WaitingCallers,
-    /// Wakes them when declarations come into force or their first read ends.
+    /// Wakes `startup_waiters` when declarations come into force or the first read ends.
     pub first_declarations: Wakeup,
-    /// Wakes callers that wait for an upstream when other nodes have become known.
+    /// Wakes callers that wait for an upstream when the set of known nodes changes.
     pub fleet_change: Wakeup,
-    /// Platform's object API.
+    /// Client of the platform's object API.
     pub platform: Rc<Client>,
-    /// The registered fleet; none where the platform lists the VMs.
+    /// The registered fleet; `None` where the platform lists the VMs.
     pub registration: Option<Rc<Registration>>,
-    /// Requests under which upstreams ended.
+    /// Requests during which upstreams terminated.
     pub containment: Containment,
-    /// Shares and tokens of limited client accounts.
+    /// Shares and tokens of client accounts with a rate limit.
     pub quotas: Quotas,
-    /// Requests that this node has refused and whose callers may come back.
+    /// Refused requests that their callers may retry.
     pub caller_retries: RefCell<CallerRetries<Fingerprint>>,
     /// Whether functions whose mode is `auto` are on.
     pub activation: Activation,
-    /// Turns of the services among which routes are split.
+    /// Selects the service of each request on a route that is split, by route.
     pub splits: RefCell<HashMap<Name, WeightedRoundRobin>>,
-    /// What the platform last said of itself.
+    /// State of the platform as the last calls to it showed.
     pub platform_state: RefCell<PlatformState>,
     /// Whether a planned stop has begun.
     pub stopping: Cell<bool>,
-    /// Whether a planned stop has come so far that callers are refused.
+    /// Whether a planned stop has reached the phase in which callers are refused.
     pub closing: Cell<bool>,
-    /// Whether a planned stop has come so far that the upstream gets no new work.
+    /// Whether a planned stop has reached the phase in which the upstream gets no new work.
     pub drained_by_stop: Cell<bool>,
-    /// Whether an operator drains the upstream.
+    /// Whether an operator has drained the upstream.
     pub drained_by_operator: Cell<bool>,
-    /// Whether the upstream said that it is leaving.
+    /// Whether the upstream has announced that it is draining.
     pub drained_by_upstream: Cell<bool>,
-    /// When the node's regular work last ran; long ago means that the process was paused.
+    /// Time of the last tick; when it is older than `PAUSE_US`, the process was paused.
     pub last_tick: Cell<Moment>,
-    /// Until when this boot may not know keys that its predecessor used.
+    /// Until when the predecessor of this boot may have used keys that this one does not know.
     pub unclean_until: Cell<Moment>,
-    /// Whether the platform is being asked if another boot took over during a pause.
+    /// Whether a check is running, at the platform, that no other boot took over during a pause.
     pub checking_pause: Cell<bool>,
-    /// Requests of callers and relays in progress.
+    /// Callers' requests and relays in progress.
     pub open_calls: Cell<usize>,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub caller_connections: Cell<usize>,
-    /// Connections of peers that have not proved themselves.
+    /// Connections of peers that have not authenticated themselves.
     pub unauthenticated_peers: Cell<usize>,
 }
 
 impl Node {
-    /// A node that has just started.
+    /// Creates the state of a node that has just started.
     pub fn new(cfg: Settings, adapter: Option<Box<dyn Adapter>>) -> Rc<Node> {
         let clock = Clock::start();
         let boot = BootId::random();
@@ -247,17 +249,17 @@
         })
     }
 
-    /// The present moment.
+    /// The time by the node's clock.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Whether the process seems to have been paused and its regular work has not run since.
+    /// Whether the process seems to have been paused and no tick has run since.
     pub fn was_paused(&self) -> bool {
         self.now().since(self.last_tick.get()) > PAUSE_US
     }
 
-    /// How long a request that is read now may have waited because the process was paused, in
+    /// How long a request that is read now may have waited because of a pause of the process, in
     /// microseconds.
     pub fn paused_for_us(&self) -> u64 {
         if self.was_paused() {
@@ -267,12 +269,12 @@
         }
     }
 
-    /// The revision by which a request that arrives now is served.
+    /// The revision that applies to a request that arrives now.
     pub fn in_force(&self) -> Option<Arc<InForce>> {
         self.rollout.borrow().in_force()
     }
 
-    /// Where another node serves peers, if it is known.
+    /// The address at which another node accepts peers, if it is known.
     pub fn address_of(&self, vm: &Name) -> Option<String> {
         if let Some(registration) = &self.registration {
             let fleet = registration.fleet.borrow();
@@ -290,7 +292,7 @@
         self.view.borrow().vm(vm).map(|vm| vm.hall.clone())
     }
 
-    /// The start of another node that is known from its record.
+    /// The boot of another node as its record names it.
     pub fn boot_of(&self, vm: &Name) -> Option<BootId> {
         let registration = self.registration.as_ref()?;
         let fleet = registration.fleet.borrow();
@@ -313,7 +315,7 @@
             .collect()
     }
 
-    /// What this node knows, for its peers.
+    /// Versions of the state that this node has, for comparison by its peers.
     pub fn summary(&self) -> Summary {
         let rollout = self.rollout.borrow();
         Summary {
@@ -329,13 +331,13 @@
         }
     }
 
-    /// Halls that are evacuated, as far as that is known.
+    /// The evacuated halls, if they are known.
     fn evacuated(&self) -> Option<Evacuated> {
         let registration = self.registration.as_ref()?;
         registration.evacuations.borrow().known().cloned()
     }
 
-    /// State of the upstream beside this node.
+    /// Load of the local upstream.
     pub fn load(&self) -> Load {
         let now = self.now();
         self.home
@@ -345,7 +347,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether any source says that the upstream beside this node is leaving.
+    /// Whether the local upstream is draining for any reason.
     pub fn is_draining(&self) -> bool {
         self.drained_by_stop.get()
             || self.drained_by_operator.get()
@@ -359,8 +361,8 @@
             }
     }
 
-    /// The request for which the upstream beside this node makes the call with this identity: its
-    /// identity is the request's, with something added.
+    /// The request for which the local upstream makes the call `id`. The id of such a call is that of
+    /// the request with a suffix.
     pub fn parent_of(&self, id: &str) -> Option<Parent> {
         let (parent, _) = id.rsplit_once(CHILD_SEPARATOR)?;
         let jobs = self.jobs.borrow();
@@ -373,29 +375,29 @@
         })
     }
 
-    /// The service whose turn it is on a route.
+    /// Selects the service for the next request on a route, by weight.
     pub fn select_service(&self, route: &Route) -> Name {
         let mut splits = self.splits.borrow_mut();
-        let split = splits.entry(route.name.clone()).or_default();
+        let round_robin = splits.entry(route.name.clone()).or_default();
         let weights = route.shares.iter().map(|share| share.weight);
-        let share = split.next(weights, &mut rand::rng()).unwrap_or(0);
+        let share = round_robin.next(weights, &mut rand::rng()).unwrap_or(0);
         route.shares[share].service.clone()
     }
 
-    /// Takes in that the number of known nodes may have changed.
+    /// Updates what depends on the number of known nodes.
     pub fn fleet_changed(&self) {
         let Some(registration) = &self.registration else {
             return;
         };
         let nodes = registration.fleet.borrow().len();
-        let limit = self.live.borrow().retries;
-        let rate = RetryBudgetConfig::node_share(limit.ratio, limit.slack, nodes);
-        self.entry.borrow_mut().set_retry_config(rate);
+        let config = self.live.borrow().retries;
+        let budget = RetryBudgetConfig::node_share(config.ratio, config.slack, nodes);
+        self.entry.borrow_mut().set_retry_config(budget);
         self.refresh_budget();
         self.fleet_change.wake();
     }
 
-    /// The upstreams that may serve `service`: declared, known to the platform and not leaving.
+    /// The upstreams that may serve `service`: declared, listed by the platform and not draining.
     pub fn candidates(&self, in_force: &InForce, service: &Service) -> Vec<Candidate> {
         let view = self.view.borrow();
         in_force
@@ -414,7 +416,7 @@
             .collect()
     }
 
-    /// A fresh identity for a relay or a claim.
+    /// A unique id for a query to other nodes, such as a relay or a claim.
     pub fn next_query_id(&self) -> AttemptId {
         let seq = self.next_query_seq.get();
         self.next_query_seq.set(seq + 1);
@@ -429,11 +431,11 @@
         let now = self.now();
         let mut members = current.to_vec();
         let former_groups = self.former_groups.borrow();
-        for (at, before) in former_groups.get(service).into_iter().flatten() {
-            if now.since(*at) > KEY_RETENTION_US {
+        for (replaced_at, group) in former_groups.get(service).into_iter().flatten() {
+            if now.since(*replaced_at) > KEY_RETENTION_US {
                 continue;
             }
-            for vm in before {
+            for vm in group {
                 if !members.contains(vm) {
                     members.push(vm.clone());
                 }
@@ -461,7 +463,7 @@
         let now = self.now();
         let mut gate = self.gate.borrow_mut();
         gate.set_hall_budget(now, hall, nodes);
-        gate.set_probe_rate(now, f64::from(self.cfg.looks_per_s) * LOOKS_PART);
+        gate.set_probe_rate(now, f64::from(self.cfg.looks_per_s) * PROBE_RATE_FRACTION);
     }
 }
 
@@ -470,7 +472,7 @@
     Pool::new(address, warm, cfg.max_body_bytes, cfg.end_by_close)
 }
 
-/// One connection is enough: one look serves all starts that wait.
+/// One connection is enough: one health probe serves all starts that wait for its result.
 fn probe_pool(cfg: &Settings, address: SocketAddr) -> Pool {
     Pool::new(address, 1, cfg.max_body_bytes, cfg.end_by_close)
 }
--- a/components/daemon/src/ready.rs
+++ b/components/daemon/src/ready.rs
@@ -1,4 +1,4 @@
-//! The door at which readiness is asked.
+//! The HTTP endpoint for readiness checks.
 
 use crate::local;
 use async_std::future::timeout;
@@ -9,29 +9,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest head, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 8_000;
-/// A connection on which nothing comes for so long is closed.
+/// A connection without a request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after the listener failed, for example because descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after `accept` has failed, for example because file descriptors ran out.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Whether a node takes callers' requests.
+/// Whether a node accepts callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It does.
+    /// The node accepts requests.
     Ready,
     /// A planned stop has begun.
     Stopping,
-    /// It knows no declarations yet.
+    /// No declarations are known yet.
     NoDeclarations,
 }
 
-/// Answers at `path` for as long as the node runs.
+/// Answers readiness checks at `path` for as long as the node runs.
 pub async fn serve(path: String, readiness: Rc<dyn Fn() -> Readiness>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            task::sleep(ACCEPT_PAUSE).await;
+            task::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let (path, readiness) = (path.clone(), readiness.clone());
@@ -55,9 +55,9 @@
     let Some(head) = connection.request_head(MAX_HEAD_BYTES).await? else {
         return Ok(false);
     };
-    let asked = head.target.split('?').next().unwrap_or_default();
+    let requested = head.target.split('?').next().unwrap_or_default();
     let (status, phrase, text) = match readiness() {
-        _ if asked != path => (404, "Not Found", "no such path\n"),
+        _ if requested != path => (404, "Not Found", "no such path\n"),
         Readiness::Stopping => (503, "Service Unavailable", "stopping\n"),
         Readiness::NoDeclarations => (503, "Service Unavailable", "no configuration yet\n"),
         Readiness::Ready => (200, "OK", "ready\n"),
--- a/components/daemon/src/stop.rs
+++ b/components/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a node.
+//! Planned stop of a node.
 
 use crate::boot_record;
 use crate::home_driver;
@@ -11,23 +11,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Callers' connections stay open so long after the upstream was left; each answer asks to close.
-const GRACE: Duration = Duration::from_millis(1_000);
-/// Part of the longest time of a stop that is left for its end.
-const END_PART: f64 = 0.1;
-/// Time between two looks whether everything has ended.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest wait for the platform to take this node's record out; others bear with one that stays.
-const WITHDRAW_LIMIT: Duration = Duration::from_millis(500);
-/// Longest wait for the platform to take the keys.
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(3);
+/// After the upstream gets no new work, callers' connections are kept open for this long; each
+/// answer asks to close.
+const CLOSE_GRACE: Duration = Duration::from_millis(1_000);
+/// Fraction of the maximum duration of a stop that is reserved for its last steps.
+const CLEANUP_FRACTION: f64 = 0.1;
+/// Interval of checks for whether all requests have ended.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for removing this node's record from the platform. Other nodes tolerate a record that is
+/// left there.
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for writing the idempotency keys to the platform.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Catches stop signals from now on.
+/// Installs the handler of stop signals.
 pub fn signals() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT])
 }
 
-/// Waits for a stop signal, then ends the node's work; returns when it may exit.
+/// Waits for a stop signal and then ends the node's work. Returns when the process may exit.
 pub async fn run(node: Rc<Node>, mut signals: Signals) {
     signals.next().await;
     stop(&node).await;
@@ -35,15 +37,15 @@
 
 async fn stop(node: &Rc<Node>) {
     let limit_ms = node.live.borrow().stop_wait_ms;
-    let limit = Duration::from_millis(limit_ms).mul_f64(1.0 - END_PART);
+    let limit = Duration::from_millis(limit_ms).mul_f64(1.0 - CLEANUP_FRACTION);
     let linger = Duration::from_millis(node.cfg.linger_ms);
     tracing::info!(
         ?linger,
         ?limit,
         open = node.open_calls.get(),
-        "a planned stop begins"
+        "planned stop started"
     );
-    let began = node.now();
+    let started = node.now();
     node.stopping.set(true);
     task::sleep(linger).await;
     node.drained_by_stop.set(true);
@@ -51,36 +53,36 @@
     if let Some(registration) = &node.registration {
         registration::publish(node, registration);
     }
-    task::sleep(GRACE).await;
-    // Callers that have not noticed by now would keep the stop from ever ending.
+    task::sleep(CLOSE_GRACE).await;
+    // Callers that still send requests on open connections would keep the stop from ending.
     node.closing.set(true);
     tracing::info!(
         open = node.open_calls.get(),
-        "no further requests are taken"
+        "no further requests are accepted"
     );
-    let until = began + limit.as_micros() as u64;
-    while !is_idle(node) && node.now() < until {
-        task::sleep(LOOK).await;
+    let deadline = started + limit.as_micros() as u64;
+    while !is_idle(node) && node.now() < deadline {
+        task::sleep(IDLE_CHECK_INTERVAL).await;
     }
     let left = node.open_calls.get();
     let idle = is_idle(node);
     match &node.registration {
-        Some(registration) => registration::withdraw(node, registration, WITHDRAW_LIMIT).await,
+        Some(registration) => registration::withdraw(node, registration, WITHDRAW_TIMEOUT).await,
         None => hand_over(node).await,
     }
     if idle {
-        tracing::info!("the planned stop is complete");
+        tracing::info!("planned stop complete");
     } else {
-        tracing::warn!(left, "the planned stop ran out of time");
+        tracing::warn!(left, "planned stop timed out with work in progress");
     }
 }
 
 async fn hand_over(node: &Rc<Node>) {
-    let handed = async_std::future::timeout(HAND_OVER_LIMIT, boot_record::save_keys(node)).await;
-    match handed {
+    let result = async_std::future::timeout(HAND_OVER_TIMEOUT, boot_record::save_keys(node)).await;
+    match result {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => tracing::warn!(%error, "the keys were not handed over"),
-        Err(_) => tracing::warn!("the keys were not handed over in time"),
+        Ok(Err(error)) => tracing::warn!(%error, "the idempotency keys were not saved"),
+        Err(_) => tracing::warn!("saving the idempotency keys timed out"),
     }
 }
 
--- a/components/daemon/src/straggling.rs
+++ b/components/daemon/src/straggling.rs
@@ -1,8 +1,9 @@
-//! Reports straggling runs in time.
+//! Reports stragglers without waiting for the home duty's next tick.
 //!
-//! The home duty's ticks are up to 20 ms apart, which is more than half of the shortest usual run at the users' sites.
-//! Each run that is to be reported therefore has a timer, which ends with the run. A node at which nothing runs isn't
-//! woken, and the ticks cover what a timer can't know: run times that are learned while the run goes on.
+//! Ticks are up to 20 ms apart, which is more than half of the shortest typical run in deployments.
+//! Each run that is to be reported therefore has a timer, which ends with the run; a node without
+//! runs isn't woken. Ticks cover what a timer can't know: run times that are learned during the
+//! run.
 
 use crate::home_driver;
 use crate::node::Node;
@@ -13,7 +14,8 @@
 use std::time::Duration;
 use wire::Frame;
 
-/// Waits until the run of an attempt straggles and reports it; returns at once if it isn't to be reported.
+/// Waits until the run of an attempt becomes a straggler and reports it. Returns at once if it
+/// isn't to be reported.
 pub async fn watch(node: &Rc<Node>, id: AttemptId) {
     let due = || {
         let home = node.home.borrow();
@@ -24,28 +26,28 @@
         if due < now {
             home_driver::with_home(node, |home| home.report_stragglers(now));
         } else {
-            // A run straggles when its age exceeds the usual.
+            // A run is a straggler when its age exceeds the typical run time, so wait 1 µs past it.
             task::sleep(Duration::from_micros(due.since(now) + 1)).await;
         }
     }
 }
 
-/// Tells the entry duty of an attempt that its run straggles.
+/// Notifies the entry duty of an attempt that its run is a straggler.
 pub fn report(node: &Rc<Node>, id: AttemptId) {
-    let waiting = {
+    let requester = {
         let jobs = node.jobs.borrow();
         jobs.get(&id)
             .map(|job| (job.reply.clone(), job.req.id.clone()))
     };
-    let Some((reply, caller_id)) = waiting else {
+    let Some((reply, caller_id)) = requester else {
         return;
     };
     let now = node.now();
     let home = node.home.borrow();
     let run_times = home.as_ref().and_then(|home| home.run_times(now, id));
     drop(home);
-    let (ran_us, usual_us) = run_times.unwrap_or_default();
-    audit::straggler_detected(&caller_id, id, ran_us, usual_us, &node.load());
+    let (ran_us, typical_us) = run_times.unwrap_or_default();
+    audit::straggler_detected(&caller_id, id, ran_us, typical_us, &node.load());
     stats::straggler_reported();
     reply.send_best_effort(node, Frame::Straggles { id });
 }
--- a/components/daemon/src/wakeup.rs
+++ b/components/daemon/src/wakeup.rs
@@ -1,11 +1,12 @@
-//! Waking all tasks that wait for the same event.
+//! Wakes all tasks that wait for the same event.
 
 use async_channel::{Receiver, Sender};
 use async_std::future::timeout;
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// An event that may occur several times. Each occurrence closes the channel on which the present waiters listen.
+/// An event that may occur several times. Each occurrence closes the channel on which the current
+/// waiters listen.
 #[derive(Debug)]
 pub struct Wakeup {
     channel: RefCell<(Sender<()>, Receiver<()>)>,
@@ -20,13 +21,13 @@
 }
 
 impl Wakeup {
-    /// Wakes all that wait now.
+    /// Wakes all current waiters.
     pub fn wake(&self) {
         let (tx, _) = self.channel.replace(async_channel::bounded(1));
         tx.close();
     }
 
-    /// Waits for the next occurrence, for so long at most.
+    /// Waits for the next occurrence, for at most `limit`.
     pub async fn wait(&self, limit: Duration) {
         let rx = self.channel.borrow().1.clone();
         timeout(limit, rx.recv()).await.ok();
