--- a/components/daemon/src/callers.rs
+++ b/components/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' door: plain HTTP/1.1.
+//! The listener for callers: plain HTTP/1.1.
 
 mod admission;
 mod connection;
--- a/components/daemon/src/callers/admission.rs
+++ b/components/daemon/src/callers/admission.rs
@@ -1,4 +1,4 @@
-//! Who asks, and whether the client account may ask more now.
+//! Identifies the client account of a request and enforces the account's limit.
 
 use super::request::CallerRequest;
 use crate::links;
@@ -15,33 +15,41 @@
 use std::time::Duration;
 use wire::RelayOutcome;
 
-/// Told to callers whose key can't be proved or whose limit isn't known now, in milliseconds: about the time after
-/// which a node that was cut off has new word.
-const UNPROVED_RETRY_MS: u64 = 500;
-/// Time between two loans of this node's share: a third of the lease, so that one may be lost.
-const LEND_EVERY: Duration = Duration::from_millis(500);
-/// Time between two tries before the first loan, and between two looks whether any account is limited.
-const LEND_FIRST: Duration = Duration::from_millis(50);
+/// Retry delay sent to callers whose key can't be verified or whose limit isn't known now, in
+/// milliseconds: about the time that a node needs to receive updates after it was cut off.
+const UNCONFIRMED_RETRY_MS: u64 = 500;
+/// Interval at which leases of this node's share are renewed: a third of the lease duration, so
+/// that one may be lost.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between tries until leases are granted, and between checks whether any account is
+/// limited.
+const LEASE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// In whose name a request goes on; none where no account is needed. `proof`: how new what is in force is, and must be.
+/// The account on whose behalf a request is processed; none where no account is needed.
+/// `freshness`: age of the declarations in force and its bound.
 pub fn identify(
     in_force: &InForce,
     call: &CallerRequest,
-    is_open: bool,
-    proof: Freshness,
+    allows_anonymous: bool,
+    freshness: Freshness,
 ) -> Result<Option<Arc<Account>>, Refusal> {
     let accounts = &in_force.declarations.accounts;
-    let found = accounts::identify(accounts, presented(in_force, call), is_open, proof);
-    found.map_err(|barred| {
-        let refusal = refusal(barred);
+    let found = accounts::identify(
+        accounts,
+        credential(in_force, call),
+        allows_anonymous,
+        freshness,
+    );
+    found.map_err(|reason| {
+        let refusal = refusal(reason);
         let revision = in_force.configuration.head.revision;
-        audit::request_denied(&call.id, &refusal, revision, proof.age_us);
+        audit::request_denied(&call.id, &refusal, revision, freshness.age_us);
         refusal
     })
 }
 
-/// A key goes before what the identity of the request says.
-fn presented(in_force: &InForce, call: &CallerRequest) -> Credential {
+/// A key takes precedence over the account of the parent request.
+fn credential(in_force: &InForce, call: &CallerRequest) -> Credential {
     if let Some(digest) = call.account_key {
         return Credential::Key(digest);
     }
@@ -51,7 +59,7 @@
     let accounts = &in_force.declarations.accounts;
     let account = parent.account.as_ref().map(|name| {
         let known = accounts.get(name.as_str()).cloned();
-        // The account may have ended while its request runs.
+        // The account may have been removed while its request runs.
         known.unwrap_or_else(|| {
             Arc::new(Account {
                 name: name.clone(),
@@ -63,21 +71,21 @@
     Credential::Inherited(account)
 }
 
-fn refusal(barred: DenyReason) -> Refusal {
-    match barred {
+fn refusal(reason: DenyReason) -> Refusal {
+    match reason {
         DenyReason::NoKey | DenyReason::UnknownKey => Refusal {
             reason: Reason::Key,
             retry_after_ms: 0,
         },
         DenyReason::StaleKeys => Refusal {
             reason: Reason::StaleKeys,
-            retry_after_ms: UNPROVED_RETRY_MS,
+            retry_after_ms: UNCONFIRMED_RETRY_MS,
         },
     }
 }
 
-/// Takes a token for a caller's request where its account is limited. Calls belong to the request for which they are
-/// made.
+/// Takes a token for a caller's request if its account is limited. Calls made for another request
+/// are covered by its token.
 pub async fn admit(
     quotas: &Quotas,
     peers: &impl Peers,
@@ -97,32 +105,43 @@
         },
         Admission::Unanswered => Refusal {
             reason: Reason::LimitUnknown,
-            retry_after_ms: UNPROVED_RETRY_MS,
+            retry_after_ms: UNCONFIRMED_RETRY_MS,
         },
     };
-    let part = quotas.share(peers.now());
-    audit::over_limit(&call.id, &account.name, &refusal, part);
+    let share = quotas.share(peers.now());
+    audit::over_limit(&call.id, &account.name, &refusal, share);
     Err(refusal)
 }
 
-/// Gives the token of a request back that has not run.
-pub fn settle(quotas: &Quotas, peers: &impl Peers, token: Option<Token>, outcome: &RelayOutcome) {
+/// Returns the token of a request that has not run.
+pub fn return_unused_token(
+    quotas: &Quotas,
+    peers: &impl Peers,
+    token: Option<Token>,
+    outcome: &RelayOutcome,
+) {
     if let (Some(token), RelayOutcome::NotRun(_)) = (token, outcome) {
         quotas.give_back(peers, token);
     }
 }
 
-/// Lends this node's share of every limit again and again, where any account is limited.
+/// Grants leases of this node's share of every limit and keeps renewing them, while any account is
+/// limited.
 pub async fn run_lease_renewals(node: Rc<Node>) {
     let peers = links::Peers(node.clone());
     loop {
         let in_force = node.in_force();
         let has_limits =
             in_force.is_some_and(|in_force| in_force.declarations.accounts.has_limits());
-        let has_lent = has_limits && node.quotas.renew_leases(&peers);
+        let has_renewed = has_limits && node.quotas.renew_leases(&peers);
         if has_limits {
             stats::set_gauge("drumwheel_quota_part", node.quotas.share(node.now()));
         }
-        task::sleep(if has_lent { LEND_EVERY } else { LEND_FIRST }).await;
+        task::sleep(if has_renewed {
+            LEASE_RENEWAL_INTERVAL
+        } else {
+            LEASE_RETRY_INTERVAL
+        })
+        .await;
     }
 }
--- a/components/daemon/src/callers/connection.rs
+++ b/components/daemon/src/callers/connection.rs
@@ -1,7 +1,7 @@
-//! Connections of callers: what was read is answered in its order.
+//! Connections of callers: requests are answered in the order in which they were read.
 
-use super::pipeline::{Pipeline, Pipelines, MOST_PIPELINED};
-use super::reading::{hung_up, Ended, Reader, ResponseSlot};
+use super::pipeline::{Pipeline, PipelineUsage, MAX_PIPELINED};
+use super::reading::{wait_for_disconnect, ReadEnd, Reader, ResponseSlot};
 use super::response;
 use crate::local;
 use crate::node::Node;
@@ -19,14 +19,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A caller that does not take its answer for so long is cut off.
+/// Maximum time for writing an answer; after that, the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after the listener failed, for example because descriptors ran out.
+/// Pause after an error of the listener, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts callers for as long as the node runs; the last moments of a planned stop excepted.
+/// Accepts callers for as long as the node runs. Requests in the last phase of a planned stop are
+/// refused.
 pub async fn run(node: Rc<Node>, listener: TcpListener) {
-    let pipelines = Rc::new(Pipelines::default());
+    let usage = Rc::new(PipelineUsage::default());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             task::sleep(ACCEPT_PAUSE).await;
@@ -34,14 +35,14 @@
         };
         if node.caller_connections.get() >= node.cfg.max_callers {
             stats::bad_input("too many callers");
-            local::spawn(turn_away(stream));
+            local::spawn(reject(stream));
             continue;
         }
         node.caller_connections
             .set(node.caller_connections.get() + 1);
-        let (node, pipelines) = (node.clone(), pipelines.clone());
+        let (node, usage) = (node.clone(), usage.clone());
         local::spawn(async move {
-            let connection = AssertUnwindSafe(connection(&node, pipelines, stream));
+            let connection = AssertUnwindSafe(connection(&node, usage, stream));
             if connection.catch_unwind().await.is_err() {
                 stats::panicked();
             }
@@ -51,38 +52,40 @@
     }
 }
 
-async fn turn_away(mut stream: TcpStream) {
-    let text = response::raw(503, "Service Unavailable", "busy", "too many connections");
+async fn reject(mut stream: TcpStream) {
+    let text = response::raw_refusal(503, "Service Unavailable", "busy", "too many connections");
     stream.write_all(text.as_bytes()).await.ok();
 }
 
-/// Serves one connection until it ends. Requests are read while earlier ones are served.
-async fn connection(node: &Rc<Node>, pipelines: Rc<Pipelines>, stream: TcpStream) {
+/// Serves one connection until it ends. Further requests are read while earlier ones are being
+/// served.
+async fn connection(node: &Rc<Node>, usage: Rc<PipelineUsage>, stream: TcpStream) {
     let Ok(address) = stream.peer_addr() else {
         return;
     };
     stream.set_nodelay(true).ok();
-    let pipeline = Rc::new(Pipeline::new(pipelines.clone()));
-    let (slots, answers) = async_channel::bounded(MOST_PIPELINED + 1);
-    // Dropped at the end, so that what is served still is given up.
-    let (_here, gone) = async_channel::bounded(1);
+    let pipeline = Rc::new(Pipeline::new(usage.clone()));
+    let (slots, answers) = async_channel::bounded(MAX_PIPELINED + 1);
+    // The sender is dropped when this function returns, so that requests still in progress are
+    // abandoned.
+    let (_open, closed) = async_channel::bounded(1);
     let reader = Reader {
         node: node.clone(),
         connection: Connection::new(stream.clone()),
         caller: address.ip(),
         pipeline: pipeline.clone(),
-        pipelines,
+        usage,
         slots,
-        gone,
+        closed,
     };
     let reading = pin!(reader.run());
     let writing = pin!(write(node, stream.clone(), &pipeline, answers));
-    if let Either::Left((Ended::Done, writing)) = select(reading, writing).await {
-        select(writing, pin!(hung_up(stream))).await;
+    if let Either::Left((ReadEnd::Finished, writing)) = select(reading, writing).await {
+        select(writing, pin!(wait_for_disconnect(stream))).await;
     }
 }
 
-/// Writes the answers in the order of their requests, until one closes the connection.
+/// Writes the answers in the order of their requests, until an answer closes the connection.
 async fn write(
     node: &Node,
     mut stream: TcpStream,
@@ -98,26 +101,26 @@
                 open,
             } => (method, is_last, answer, open),
             ResponseSlot::Refusal(text) => {
-                // Who does not send may not read either.
+                // A caller that doesn't send its request may not read the answer either.
                 timeout(WRITE_TIMEOUT, stream.write_all(text.as_bytes()))
                     .await
                     .ok();
                 return;
             }
         };
-        let Ok(held) = answer.recv().await else {
+        let Ok(buffered) = answer.recv().await else {
             return;
         };
-        // What was read behind it is answered first.
-        let closes = is_last || node.stopping.get() && answers.is_empty();
-        if closes {
-            pipeline.close();
+        // On a planned stop, requests that were read already are answered first.
+        let is_closing = is_last || node.stopping.get() && answers.is_empty();
+        if is_closing {
+            pipeline.start_closing();
         }
-        let bytes = held.res.bytes(&method, closes);
-        drop(held);
+        let bytes = buffered.res.to_bytes(&method, is_closing);
+        drop(buffered);
         let written = timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await;
-        pipeline.answered();
-        if closes || !matches!(written, Ok(Ok(()))) {
+        pipeline.on_answered();
+        if is_closing || !matches!(written, Ok(Ok(()))) {
             return;
         }
     }
--- a/components/daemon/src/callers/pipeline.rs
+++ b/components/daemon/src/callers/pipeline.rs
@@ -1,4 +1,5 @@
-//! The pipeline of one connection: requests that were read and not answered yet, and what all pipelines of a node may hold.
+//! The pipeline of one connection: requests that were read and not answered yet, and limits on all
+//! pipelines of a node together.
 
 use super::response::Response;
 use async_channel::{Receiver, Sender};
@@ -6,146 +7,141 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Requests in one pipeline at most.
-pub const MOST_PIPELINED: usize = 8;
-/// Requests in all pipelines of a node that run behind another one, at most.
-const MOST_BEHIND: usize = 256;
-/// Bytes of answers that wait for their turn, at most: beyond it no further request joins a pipeline. What runs by then may
-/// still add its answers.
-const MOST_HELD_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of requests in one pipeline.
+pub const MAX_PIPELINED: usize = 8;
+/// Maximum number of requests, in all pipelines of a node, that run behind an unanswered one.
+const MAX_BEHIND: usize = 256;
+/// Maximum size of buffered answers, in bytes: beyond it, no further request is added to a
+/// pipeline. Requests that are running by then may still add their answers.
+const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
-/// What all pipelines of a node hold together.
+/// Requests and answers in all pipelines of a node.
 #[derive(Debug, Default)]
-pub struct Pipelines {
+pub struct PipelineUsage {
     behind: Cell<usize>,
-    held_bytes: Cell<usize>,
+    buffered_bytes: Cell<usize>,
 }
 
-impl Pipelines {
-    fn has_room(&self) -> bool {
-        self.behind.get() < MOST_BEHIND && self.held_bytes.get() < MOST_HELD_BYTES
+impl PipelineUsage {
+    fn has_capacity(&self) -> bool {
+        self.behind.get() < MAX_BEHIND && self.buffered_bytes.get() < MAX_BUFFERED_BYTES
     }
 }
 
-/// An answer that waits for its turn; its bytes count for as long as it lives.
+/// An answer that waits until it may be written; its bytes are counted until it is dropped.
 #[derive(Debug)]
-pub struct Held {
+pub struct BufferedAnswer {
     /// The answer.
     pub res: Response,
-    pipelines: Rc<Pipelines>,
+    usage: Rc<PipelineUsage>,
     bytes: usize,
 }
 
-impl Held {
-    /// Counts an answer.
-    pub fn new(pipelines: Rc<Pipelines>, res: Response) -> Held {
+impl BufferedAnswer {
+    /// Counts the answer's bytes.
+    pub fn new(usage: Rc<PipelineUsage>, res: Response) -> BufferedAnswer {
         let bytes = res.body_bytes();
-        pipelines.held_bytes.set(pipelines.held_bytes.get() + bytes);
-        Held {
-            res,
-            pipelines,
-            bytes,
-        }
+        usage.buffered_bytes.set(usage.buffered_bytes.get() + bytes);
+        BufferedAnswer { res, usage, bytes }
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferedAnswer {
     fn drop(&mut self) {
-        let pipelines = &self.pipelines;
-        pipelines
-            .held_bytes
-            .set(pipelines.held_bytes.get() - self.bytes);
+        let usage = &self.usage;
+        usage
+            .buffered_bytes
+            .set(usage.buffered_bytes.get() - self.bytes);
     }
 }
 
 /// One pipeline.
 #[derive(Debug)]
 pub struct Pipeline {
-    pipelines: Rc<Pipelines>,
+    usage: Rc<PipelineUsage>,
     length: Cell<usize>,
-    /// When it was last empty.
-    rests_since: Cell<Instant>,
-    /// Whether the answer that is being written closes the connection.
-    closes: Cell<bool>,
+    /// When it was created or its last answer was written.
+    idle_since: Cell<Instant>,
+    /// Whether the connection closes after the current answer.
+    is_closing: Cell<bool>,
     changed: (Sender<()>, Receiver<()>),
 }
 
 impl Pipeline {
     /// An empty pipeline.
-    pub fn new(pipelines: Rc<Pipelines>) -> Pipeline {
+    pub fn new(usage: Rc<PipelineUsage>) -> Pipeline {
         Pipeline {
-            pipelines,
+            usage,
             length: Cell::new(0),
-            rests_since: Cell::new(Instant::now()),
-            closes: Cell::new(false),
+            idle_since: Cell::new(Instant::now()),
+            is_closing: Cell::new(false),
             changed: async_channel::bounded(1),
         }
     }
 
-    /// Whether every request that was read has been answered.
+    /// Whether all requests that were read have been answered.
     pub fn is_empty(&self) -> bool {
         self.length.get() == 0
     }
 
-    /// Whether another request may join.
-    pub fn has_room(&self) -> bool {
-        self.is_empty() || self.length.get() < MOST_PIPELINED && self.pipelines.has_room()
+    /// Whether another request may be added.
+    pub fn has_capacity(&self) -> bool {
+        self.is_empty() || self.length.get() < MAX_PIPELINED && self.usage.has_capacity()
     }
 
-    /// Since when the pipeline is empty.
-    pub fn rests_since(&self) -> Instant {
-        self.rests_since.get()
+    /// Since when the pipeline is empty, if it is.
+    pub fn idle_since(&self) -> Instant {
+        self.idle_since.get()
     }
 
-    /// The connection ends with the answer that is written now: what comes behind it counts as not read.
-    pub fn close(&self) {
-        self.closes.set(true);
+    /// Marks the connection as closing after the current answer: requests behind it count as not
+    /// read.
+    pub fn start_closing(&self) {
+        self.is_closing.set(true);
     }
 
-    /// Whether the connection ends with the answer that is written now.
-    pub fn closes(&self) -> bool {
-        self.closes.get()
+    /// Whether the connection closes after the current answer.
+    pub fn is_closing(&self) -> bool {
+        self.is_closing.get()
     }
 
-    /// A request joins.
-    pub fn join(&self) {
+    /// Adds a request.
+    pub fn add_request(&self) {
         if !self.is_empty() {
-            self.pipelines.behind.set(self.pipelines.behind.get() + 1);
+            self.usage.behind.set(self.usage.behind.get() + 1);
         }
         self.length.set(self.length.get() + 1);
     }
 
-    /// The first request was answered.
-    pub fn answered(&self) {
-        self.leave(1);
-        self.rests_since.set(Instant::now());
-        // A full channel means that the change is told already.
+    /// Removes the first request, which was answered.
+    pub fn on_answered(&self) {
+        self.remove(1);
+        self.idle_since.set(Instant::now());
+        // A full channel already holds a notification.
         self.changed.0.try_send(()).ok();
     }
 
-    /// Ends once `fits` holds of the pipeline.
-    pub async fn until(&self, fits: impl Fn(&Pipeline) -> bool) {
-        while !fits(self) {
+    /// Waits until `condition` holds for the pipeline.
+    pub async fn wait_until(&self, condition: impl Fn(&Pipeline) -> bool) {
+        while !condition(self) {
             if self.changed.1.recv().await.is_err() {
                 return;
             }
         }
     }
 
-    /// All but the first of a pipeline run behind another one.
-    fn leave(&self, count: usize) {
+    /// Removes requests. All but the first of a pipeline run behind another one.
+    fn remove(&self, count: usize) {
         let before = self.length.get();
         let after = before - count;
         let behind = before.saturating_sub(1) - after.saturating_sub(1);
-        self.pipelines
-            .behind
-            .set(self.pipelines.behind.get() - behind);
+        self.usage.behind.set(self.usage.behind.get() - behind);
         self.length.set(after);
     }
 }
 
 impl Drop for Pipeline {
     fn drop(&mut self) {
-        self.leave(self.length.get());
+        self.remove(self.length.get());
     }
 }
--- a/components/daemon/src/callers/reading.rs
+++ b/components/daemon/src/callers/reading.rs
@@ -1,6 +1,7 @@
-//! Reads the requests of one connection and has them served: beside one another where they may be repeated, else alone.
+//! Reads the requests of one connection and starts their processing: concurrently if they may be
+//! repeated, otherwise one at a time.
 
-use super::pipeline::{Held, Pipeline, Pipelines};
+use super::pipeline::{BufferedAnswer, Pipeline, PipelineUsage};
 use super::request::{self, BadRequest, CallerRequest, Limits};
 use super::response;
 use super::serve;
@@ -21,28 +22,28 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The slot of one answer in a pipeline.
+/// Slot of one response in a pipeline.
 pub enum ResponseSlot {
     /// The answer to a request that was read.
     Request {
         /// The request's method.
         method: String,
-        /// Whether the connection ends with it.
+        /// Whether the connection closes after it.
         is_last: bool,
-        /// The answer, once there is one.
-        answer: Receiver<Held>,
+        /// Receives the answer.
+        answer: Receiver<BufferedAnswer>,
         /// Counts the request as open.
         open: OpenCall,
     },
-    /// A whole response to what could not be read; the connection ends with it.
+    /// A complete response to a request that could not be read; the connection closes after it.
     Refusal(String),
 }
 
-/// Counts a request as open for as long as it lives.
+/// Guard that counts a request as open until it is dropped.
 pub struct OpenCall(Rc<Node>);
 
 impl OpenCall {
-    fn begin(node: Rc<Node>) -> OpenCall {
+    fn new(node: Rc<Node>) -> OpenCall {
         node.open_calls.set(node.open_calls.get() + 1);
         OpenCall(node)
     }
@@ -54,119 +55,123 @@
     }
 }
 
-/// Why no more is read.
+/// Why no further request is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// The connection ends when what was read is answered.
-    Done,
-    /// The caller has left.
-    Gone,
+pub enum ReadEnd {
+    /// The connection closes once all requests that were read are answered.
+    Finished,
+    /// The caller has disconnected.
+    Disconnected,
 }
 
-/// Reads one connection.
+/// Reads the requests of one connection.
 pub struct Reader {
     /// The node.
     pub node: Rc<Node>,
-    /// What was read and not used yet.
+    /// The connection, with bytes that were read but not consumed yet.
     pub connection: Connection<TcpStream>,
-    /// Where the caller is.
+    /// The caller's address.
     pub caller: IpAddr,
     /// Requests in progress on this connection.
     pub pipeline: Rc<Pipeline>,
-    /// What all pipelines hold.
-    pub pipelines: Rc<Pipelines>,
-    /// Takes the slots of the answers, in order.
+    /// Requests and answers in all pipelines of the node.
+    pub usage: Rc<PipelineUsage>,
+    /// Receives the response slots, in order.
     pub slots: Sender<ResponseSlot>,
-    /// Closed once the caller has left.
-    pub gone: Receiver<Infallible>,
+    /// Closed once the connection has ended.
+    pub closed: Receiver<Infallible>,
 }
 
 impl Reader {
     /// Reads until the connection ends.
-    pub async fn run(mut self) -> Ended {
+    pub async fn run(mut self) -> ReadEnd {
         loop {
-            if let Err(ended) = self.next().await {
-                return ended;
+            if let Err(end) = self.read_next().await {
+                return end;
             }
         }
     }
 
-    /// Reads one request and has it served.
-    async fn next(&mut self) -> Result<(), Ended> {
+    /// Reads one request and starts its processing.
+    async fn read_next(&mut self) -> Result<(), ReadEnd> {
         let node = self.node.clone();
-        // A node that stops reads nothing behind what it serves: the last answer closes the connection.
-        self.until(|pipeline| pipeline.has_room() && (pipeline.is_empty() || !node.stopping.get()))
-            .await?;
+        // A stopping node reads no further requests while one is in progress: the last answer
+        // closes the connection.
+        self.wait_until(|pipeline| {
+            pipeline.has_capacity() && (pipeline.is_empty() || !node.stopping.get())
+        })
+        .await?;
         let in_force = node.in_force();
         let declared = in_force.and_then(|in_force| in_force.declarations.limits);
-        let limits = Limits::of(node.cfg.max_body_bytes as u64, declared);
-        self.begins(limits).await?;
-        let head = self.head(limits).await?;
-        let open = OpenCall::begin(node.clone());
+        let limits = Limits::effective(node.cfg.max_body_bytes as u64, declared);
+        self.wait_for_request(limits).await?;
+        let head = self.read_head(limits).await?;
+        let open = OpenCall::new(node.clone());
         let method = head.method.clone();
-        let asked_to_close = request::has_token(&head.headers, "connection", "close");
-        match self.request(head, limits).await {
-            Ok(call) => self.serve(call, method, asked_to_close, open).await,
+        let is_last = request::has_token(&head.headers, "connection", "close");
+        match self.read_request(head, limits).await {
+            Ok(call) => self.serve(call, method, is_last, open).await,
             Err(bad) => {
                 stats::bad_input("caller");
                 let (tx, answer) = async_channel::bounded(1);
                 let res = response::bad_request(&bad);
-                tx.try_send(Held::new(self.pipelines.clone(), res)).ok();
-                self.put(ResponseSlot::Request {
+                tx.try_send(BufferedAnswer::new(self.usage.clone(), res))
+                    .ok();
+                self.push_slot(ResponseSlot::Request {
                     method,
                     is_last: true,
                     answer,
                     open,
                 })?;
-                Err(Ended::Done)
+                Err(ReadEnd::Finished)
             }
         }
     }
 
     /// Waits for the first bytes of a request.
-    async fn begins(&mut self, limits: Limits) -> Result<(), Ended> {
+    async fn wait_for_request(&mut self, limits: Limits) -> Result<(), ReadEnd> {
         loop {
-            let rested = match self.pipeline.is_empty() {
-                true => self.pipeline.rests_since().elapsed(),
+            let idle = match self.pipeline.is_empty() {
+                true => self.pipeline.idle_since().elapsed(),
                 false => std::time::Duration::ZERO,
             };
-            let left = limits.idle.saturating_sub(rested);
-            match timeout(left, self.connection.wait_for_data()).await {
+            let remaining = limits.idle_timeout.saturating_sub(idle);
+            match timeout(remaining, self.connection.wait_for_data()).await {
                 Ok(Ok(true)) => return Ok(()),
-                Ok(_) => return Err(Ended::Gone),
+                Ok(_) => return Err(ReadEnd::Disconnected),
                 Err(_)
                     if self.pipeline.is_empty()
-                        && self.pipeline.rests_since().elapsed() >= limits.idle =>
+                        && self.pipeline.idle_since().elapsed() >= limits.idle_timeout =>
                 {
-                    return Err(Ended::Done);
+                    return Err(ReadEnd::Finished);
                 }
                 Err(_) => {}
             }
         }
     }
 
-    async fn head(&mut self, limits: Limits) -> Result<RequestHead, Ended> {
-        let head = self.connection.request_head(limits.header_bytes);
-        let refusal = match timeout(limits.head, head).await {
+    async fn read_head(&mut self, limits: Limits) -> Result<RequestHead, ReadEnd> {
+        let head = self.connection.request_head(limits.max_head_bytes);
+        let refusal = match timeout(limits.head_timeout, head).await {
             Ok(Ok(Some(head))) => return Ok(head),
-            Ok(Ok(None)) => return Err(Ended::Gone),
+            Ok(Ok(None)) => return Err(ReadEnd::Disconnected),
             Ok(Err(Fault::Truncated | Fault::Io(_))) => {
                 stats::bad_input("caller");
-                return Err(Ended::Gone);
+                return Err(ReadEnd::Disconnected);
             }
-            Ok(Err(fault)) => refusal(&BadRequest::from(&fault)),
+            Ok(Err(fault)) => raw_refusal(&BadRequest::from(&fault)),
             Err(_) => {
-                tracing::info!(status = 408, "a head did not arrive in time");
+                tracing::info!(status = 408, "a request head did not arrive in time");
                 let cause = "the head did not arrive in time".to_string();
-                refusal(&BadRequest { status: 408, cause })
+                raw_refusal(&BadRequest { status: 408, cause })
             }
         };
         stats::bad_input("caller");
-        self.put(ResponseSlot::Refusal(refusal))?;
-        Err(Ended::Done)
+        self.push_slot(ResponseSlot::Refusal(refusal))?;
+        Err(ReadEnd::Finished)
     }
 
-    async fn request(
+    async fn read_request(
         &mut self,
         head: RequestHead,
         limits: Limits,
@@ -180,100 +185,109 @@
         request::read(names, parent_of, connection, caller, head, limits, received).await
     }
 
-    /// Has a request served. One that may not be repeated starts once all before it are answered, since it would be
-    /// sent again behind an answer that closes the connection; and nothing starts behind it.
+    /// Starts the processing of a request. One that may not be repeated starts once all earlier
+    /// ones are answered, because the caller would send it again if an earlier answer closed the
+    /// connection; and no later request starts before it is answered.
     async fn serve(
         &mut self,
         call: CallerRequest,
         method: String,
         is_last: bool,
         open: OpenCall,
-    ) -> Result<(), Ended> {
-        let is_alone = !may_run_beside(self.node.in_force(), &call);
+    ) -> Result<(), ReadEnd> {
+        let is_exclusive = !may_run_concurrently(self.node.in_force(), &call);
         self.note_pipelining();
-        if is_alone {
-            self.until(Pipeline::is_empty).await?;
+        if is_exclusive {
+            self.wait_until(Pipeline::is_empty).await?;
         }
-        if self.pipeline.closes() {
-            // The caller sends it again: to it, it was not read.
-            return Err(Ended::Done);
+        if self.pipeline.is_closing() {
+            // The caller regards the request as not read and sends it again.
+            return Err(ReadEnd::Finished);
         }
-        if hung_up(self.connection.stream().clone())
+        if wait_for_disconnect(self.connection.stream().clone())
             .now_or_never()
             .is_some()
         {
             // The request may have waited long in the buffers of a paused process.
-            return Err(Ended::Gone);
+            return Err(ReadEnd::Disconnected);
         }
         let (tx, answer) = async_channel::bounded(1);
-        self.put(ResponseSlot::Request {
+        self.push_slot(ResponseSlot::Request {
             method,
             is_last,
             answer,
             open,
         })?;
-        let (node, pipelines) = (self.node.clone(), self.pipelines.clone());
-        let gone = self.gone.clone();
+        let (node, usage) = (self.node.clone(), self.usage.clone());
+        let closed = self.closed.clone();
         local::spawn_contained("request", async move {
-            let hung_up = async move {
-                // Nothing is ever sent: the channel closes.
-                gone.recv().await.ok();
+            let disconnected = async move {
+                // Nothing is ever sent; the call returns when the channel closes.
+                closed.recv().await.ok();
             };
-            let res = serve::serve(&node, call, hung_up).await;
-            // The connection may have ended meanwhile.
-            tx.try_send(Held::new(pipelines, res)).ok();
+            let res = serve::serve(&node, call, disconnected).await;
+            // The connection may have ended by now.
+            tx.try_send(BufferedAnswer::new(usage, res)).ok();
         });
         if is_last {
-            return Err(Ended::Done);
+            return Err(ReadEnd::Finished);
         }
-        if is_alone {
-            self.until(Pipeline::is_empty).await?;
+        if is_exclusive {
+            self.wait_until(Pipeline::is_empty).await?;
         }
         Ok(())
     }
 
-    /// A request that was read behind an unanswered one shows that callers of this node pipeline.
+    /// A request that was read behind an unanswered one shows that callers of this node use
+    /// pipelining.
     fn note_pipelining(&self) {
         if !self.pipeline.is_empty() {
             self.node.activation.record_pipelined(self.node.now());
         }
     }
 
-    fn put(&self, slot: ResponseSlot) -> Result<(), Ended> {
-        self.pipeline.join();
-        // As many slots as a pipeline has, and one refusal behind them; else the writer has ended.
-        self.slots.try_send(slot).map_err(|_| Ended::Gone)
+    fn push_slot(&self, slot: ResponseSlot) -> Result<(), ReadEnd> {
+        self.pipeline.add_request();
+        // The channel has capacity for a full pipeline and one refusal behind it, so an error means
+        // that the writer has ended.
+        self.slots.try_send(slot).map_err(|_| ReadEnd::Disconnected)
     }
 
-    /// Waits until `fits` holds of the pipeline, or the caller leaves.
-    async fn until(&self, fits: impl Fn(&Pipeline) -> bool) -> Result<(), Ended> {
-        if fits(&self.pipeline) {
+    /// Waits until `condition` holds for the pipeline or the caller disconnects.
+    async fn wait_until(&self, condition: impl Fn(&Pipeline) -> bool) -> Result<(), ReadEnd> {
+        if condition(&self.pipeline) {
             return Ok(());
         }
-        let hung_up = pin!(hung_up(self.connection.stream().clone()));
-        match select(pin!(self.pipeline.until(fits)), hung_up).await {
+        let disconnected = pin!(wait_for_disconnect(self.connection.stream().clone()));
+        match select(pin!(self.pipeline.wait_until(condition)), disconnected).await {
             Either::Left(((), _)) => Ok(()),
-            Either::Right(((), _)) => Err(Ended::Gone),
+            Either::Right(((), _)) => Err(ReadEnd::Disconnected),
         }
     }
 }
 
-/// Whether a request may run beside others of its connection: it may be repeated, so that nothing is lost when the
-/// caller sends it again.
-fn may_run_beside(in_force: Option<Arc<InForce>>, call: &CallerRequest) -> bool {
+/// Whether a request may run concurrently with others of its connection: only if it may be
+/// repeated, so that the caller can safely send it again.
+fn may_run_concurrently(in_force: Option<Arc<InForce>>, call: &CallerRequest) -> bool {
     let route = in_force
         .as_ref()
         .and_then(|in_force| in_force.declarations.find_route(&call.host, &call.path));
     route.is_some_and(|route| route.treatment.repeatable)
 }
 
-fn refusal(bad: &BadRequest) -> String {
+fn raw_refusal(bad: &BadRequest) -> String {
     let reason = Reason::BadRequest.as_str();
-    response::raw(bad.status, response::phrase(bad.status), reason, &bad.cause)
+    response::raw_refusal(
+        bad.status,
+        response::reason_phrase(bad.status),
+        reason,
+        &bad.cause,
+    )
 }
 
-/// Ends when the caller closes its connection. A caller that sends on is not watched any further.
-pub async fn hung_up(stream: TcpStream) {
+/// Returns when the caller closes its connection. Once further bytes arrive, a disconnect is not
+/// detected any more.
+pub async fn wait_for_disconnect(stream: TcpStream) {
     let mut byte = [0];
     match stream.peek(&mut byte).await {
         Ok(0) | Err(_) => {}
--- a/components/daemon/src/callers/request.rs
+++ b/components/daemon/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request.
+//! Reads a caller's request.
 
 use crate::node::Parent;
 use accounts::KeyDigest;
@@ -10,56 +10,59 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// The caller's key for a request that may not run twice.
+/// Header with the caller's key for a request that may not run twice.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// Levels of calls at most; a deeper call is taken for a loop.
+/// Maximum number of levels of calls; a deeper call is treated as a loop.
 const MAX_LEVEL: u32 = 64;
-/// Longest time for a body to arrive.
+/// Maximum time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest head when the declarations set none, in bytes.
+/// Maximum size of a head if the declarations set none, in bytes.
 const MAX_HEAD_BYTES: usize = 8_000;
-/// Longest time for a head to arrive when the declarations set none.
+/// Maximum time for a head to arrive if the declarations set none.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest rest of a connection when the declarations set none.
+/// Maximum idle time of a connection if the declarations set none.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bounds on one request.
+/// Limits on one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Largest head, in bytes.
-    pub header_bytes: usize,
-    /// Largest body, in bytes.
-    pub body_bytes: u64,
-    /// Longest time from the first byte of a head to its end.
-    pub head: Duration,
-    /// Longest rest of a connection between two requests.
-    pub idle: Duration,
+    /// Maximum size of the head, in bytes.
+    pub max_head_bytes: usize,
+    /// Maximum size of the body, in bytes.
+    pub max_body_bytes: u64,
+    /// Maximum time from the first byte of the head to its end.
+    pub head_timeout: Duration,
+    /// Maximum idle time of a connection between two requests.
+    pub idle_timeout: Duration,
 }
 
 impl Limits {
-    /// The bounds `declared`, or else the node's own. A body is held in memory, so the node's own bound on it, in
-    /// bytes, holds in any case.
-    pub fn of(own: u64, declared: Option<declarations::CallerLimits>) -> Limits {
+    /// The declared limits, or else the node's defaults. Bodies are buffered in memory, so the
+    /// node's own limit on their size, in bytes, applies in any case.
+    pub fn effective(
+        own_max_body_bytes: u64,
+        declared: Option<declarations::CallerLimits>,
+    ) -> Limits {
         match declared {
             Some(limits) => Limits {
-                header_bytes: limits.header_bytes,
-                body_bytes: own.min(limits.body_bytes as u64),
-                head: Duration::from_millis(limits.header_ms),
-                idle: Duration::from_millis(limits.idle_ms),
+                max_head_bytes: limits.header_bytes,
+                max_body_bytes: own_max_body_bytes.min(limits.body_bytes as u64),
+                head_timeout: Duration::from_millis(limits.header_ms),
+                idle_timeout: Duration::from_millis(limits.idle_ms),
             },
             None => Limits {
-                header_bytes: MAX_HEAD_BYTES,
-                body_bytes: own,
-                head: HEAD_TIMEOUT,
-                idle: IDLE_TIMEOUT,
+                max_head_bytes: MAX_HEAD_BYTES,
+                max_body_bytes: own_max_body_bytes,
+                head_timeout: HEAD_TIMEOUT,
+                idle_timeout: IDLE_TIMEOUT,
             },
         }
     }
 }
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub struct CallerRequest {
     /// HTTP method.
@@ -72,43 +75,43 @@
     pub target: String,
     /// End-to-end headers.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// Body.
     pub body: Vec<u8>,
     /// When its head was read.
     pub received: Moment,
-    /// Remaining time that the caller gives, in milliseconds.
+    /// Remaining time until the caller's deadline, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// How many services the call has passed.
+    /// Number of services that the call has passed through.
     pub level: u32,
-    /// The request for which the upstream beside this node makes this call.
+    /// The request for which the local upstream makes this call.
     pub parent: Option<Parent>,
     /// Idempotency key.
     pub key: Option<String>,
-    /// What stands for the key of its client account.
+    /// Digest of the key of its client account.
     pub account_key: Option<KeyDigest>,
-    /// The client account in whose name it goes on, once that is known.
+    /// The client account on whose behalf it is processed, once that is known.
     pub account: Option<Name>,
-    /// Identity that the caller gave its try; `-` for none.
+    /// Request id that the caller gave to its try; `-` for none.
     pub id: String,
     /// The caller's IP address.
     pub caller: String,
 }
 
 impl CallerRequest {
-    /// Bytes that it holds, about.
-    pub fn bytes(&self) -> usize {
+    /// Approximate size, in bytes.
+    pub fn size_bytes(&self) -> usize {
         let headers = self.headers.iter();
         let headers: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
         self.body.len() + self.target.len() + headers
     }
 }
 
-/// A request that can't be read, with the status that says why.
+/// A request that can't be read, with the status and the cause for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadRequest {
     /// HTTP status.
     pub status: u16,
-    /// What is wrong.
+    /// Cause.
     pub cause: String,
 }
 
@@ -120,11 +123,11 @@
             Fault::UnsupportedEncoding(_) => 501,
             Fault::Malformed(_) | Fault::Truncated | Fault::Io(_) => 400,
         };
-        bad(status, fault.to_string())
+        bad_request(status, fault.to_string())
     }
 }
 
-/// Whether a header's list of tokens holds `token`.
+/// Whether the token list of header `name` contains `token`.
 pub fn has_token(headers: &[Header], name: &str, token: &str) -> bool {
     headers
         .iter()
@@ -133,7 +136,7 @@
         .any(|other| other.trim().eq_ignore_ascii_case(token))
 }
 
-/// Reads the whole request, or says what is wrong with it.
+/// Reads the complete request.
 pub async fn read(
     names: &Headers,
     parent_of: impl Fn(&str) -> Option<Parent>,
@@ -145,34 +148,40 @@
 ) -> Result<CallerRequest, BadRequest> {
     let account_key = take_account_key(names, &mut head.headers)?;
     let body = read_body(connection, &head, limits).await?;
-    let deadline_ms = number(&head.headers, &names.deadline_ms)?;
+    let deadline_ms = integer_header(&head.headers, &names.deadline_ms)?;
     let id = match &names.request_id {
-        Some(name) => one(&head.headers, name)?.unwrap_or("-").to_string(),
+        Some(name) => single_header(&head.headers, name)?
+            .unwrap_or("-")
+            .to_string(),
         None => "-".to_string(),
     };
     let parent = parent_of(&id);
-    let told = number(&head.headers, &names.level)?;
-    let level = told.unwrap_or_else(|| {
+    let given = integer_header(&head.headers, &names.level)?;
+    let level = given.unwrap_or_else(|| {
         let parent = parent.as_ref();
         parent.map_or(0, |parent| u64::from(parent.level) + 1)
     });
     if level > u64::from(MAX_LEVEL) {
-        return Err(bad(508, format!("more than {MAX_LEVEL} levels of calls")));
+        return Err(bad_request(
+            508,
+            format!("more than {MAX_LEVEL} levels of calls"),
+        ));
     }
-    let key = one(&head.headers, KEY_HEADER)?.map(str::to_string);
+    let key = single_header(&head.headers, KEY_HEADER)?.map(str::to_string);
     if key.as_ref().is_some_and(|key| key.len() > MAX_KEY_BYTES) {
         let cause = format!("{KEY_HEADER} is longer than {MAX_KEY_BYTES} bytes");
-        return Err(bad(400, cause));
+        return Err(bad_request(400, cause));
     }
     let (target, target_host) = split_target(&head.target)?;
     let host = match target_host {
         Some(host) => Some(host),
-        None => one(&head.headers, "host")?,
+        None => single_header(&head.headers, "host")?,
     };
-    let host = host.ok_or_else(|| bad(400, "no host".to_string()))?;
-    let mut headers = end_to_end(head.headers.clone());
+    let host = host.ok_or_else(|| bad_request(400, "no host".to_string()))?;
+    let mut headers = end_to_end_headers(head.headers.clone());
     if let Some(host) = target_host {
-        // The host of an absolute target goes before the header's (RFC 9112, 3.2.2), for upstreams as well.
+        // The host of an absolute target takes precedence over the header (RFC 9112, 3.2.2), also
+        // for upstreams.
         headers.retain(|(name, _)| !name.eq_ignore_ascii_case("host"));
         headers.push(("Host".to_string(), host.to_string()));
     }
@@ -195,18 +204,18 @@
     })
 }
 
-/// Takes the account's key out of the headers, so that nothing behind this point can pass it on, and with it whatever
-/// account the caller names itself.
+/// Removes the account's key from the headers, so that it can't be passed on, and also any account
+/// name that the caller gives itself.
 fn take_account_key(
     names: &Headers,
     headers: &mut Vec<Header>,
 ) -> Result<Option<KeyDigest>, BadRequest> {
     let digest = match &names.account_key {
-        Some(name) => one(headers, name)?.map(|key| KeyDigest::of(key.as_bytes())),
+        Some(name) => single_header(headers, name)?.map(|key| KeyDigest::of(key.as_bytes())),
         None => None,
     };
-    let own: Vec<&String> = names.account_key.iter().chain(&names.account).collect();
-    headers.retain(|(name, _)| !own.iter().any(|own| name.eq_ignore_ascii_case(own)));
+    let strip: Vec<&String> = names.account_key.iter().chain(&names.account).collect();
+    headers.retain(|(name, _)| !strip.iter().any(|strip| name.eq_ignore_ascii_case(strip)));
     Ok(digest)
 }
 
@@ -217,7 +226,7 @@
     }
     let rest = target
         .strip_prefix("http://")
-        .ok_or_else(|| bad(400, format!("the target {target:?} is no path")))?;
+        .ok_or_else(|| bad_request(400, format!("the target {target:?} is not a path")))?;
     let slash = rest.find('/').unwrap_or(rest.len());
     let path = if slash < rest.len() {
         &rest[slash..]
@@ -240,29 +249,40 @@
     limits: Limits,
 ) -> Result<Vec<u8>, BadRequest> {
     let framing = request_framing(&head.headers).map_err(|fault| BadRequest::from(&fault))?;
-    match timeout(BODY_TIMEOUT, connection.body(framing, limits.body_bytes)).await {
+    match timeout(
+        BODY_TIMEOUT,
+        connection.body(framing, limits.max_body_bytes),
+    )
+    .await
+    {
         Ok(body) => body.map_err(|fault| BadRequest::from(&fault)),
-        Err(_) => Err(bad(408, "the body did not arrive in time".to_string())),
+        Err(_) => Err(bad_request(
+            408,
+            "the body did not arrive in time".to_string(),
+        )),
     }
 }
 
-fn one<'a>(headers: &'a [Header], name: &str) -> Result<Option<&'a str>, BadRequest> {
+fn single_header<'a>(headers: &'a [Header], name: &str) -> Result<Option<&'a str>, BadRequest> {
     unique_header(headers, name).map_err(|fault| BadRequest::from(&fault))
 }
 
-fn number(headers: &[Header], name: &str) -> Result<Option<u64>, BadRequest> {
-    let Some(text) = one(headers, name)? else {
+fn integer_header(headers: &[Header], name: &str) -> Result<Option<u64>, BadRequest> {
+    let Some(text) = single_header(headers, name)? else {
         return Ok(None);
     };
-    let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    let is_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     match text.parse() {
-        Ok(number) if digits => Ok(Some(number)),
-        _ => Err(bad(400, format!("{name} = {text:?} is not a whole number"))),
+        Ok(number) if is_digits => Ok(Some(number)),
+        _ => Err(bad_request(
+            400,
+            format!("{name} = {text:?} is not a whole number"),
+        )),
     }
 }
 
-fn end_to_end(headers: Vec<Header>) -> Vec<Header> {
-    let named: Vec<String> = headers
+fn end_to_end_headers(headers: Vec<Header>) -> Vec<Header> {
+    let hop_by_hop: Vec<String> = headers
         .iter()
         .filter(|(name, _)| name.eq_ignore_ascii_case("connection"))
         .flat_map(|(_, value)| value.split(','))
@@ -271,10 +291,10 @@
     headers
         .into_iter()
         .filter(|(name, _)| !http1::is_hop_header(name) && !name.eq_ignore_ascii_case("expect"))
-        .filter(|(name, _)| !named.contains(&name.to_lowercase()))
+        .filter(|(name, _)| !hop_by_hop.contains(&name.to_lowercase()))
         .collect()
 }
 
-fn bad(status: u16, cause: String) -> BadRequest {
+fn bad_request(status: u16, cause: String) -> BadRequest {
     BadRequest { status, cause }
 }
--- a/components/daemon/src/callers/returned.rs
+++ b/components/daemon/src/callers/returned.rs
@@ -1,4 +1,4 @@
-//! Recognises callers that were refused and try again.
+//! Recognises callers that try again after a refusal.
 
 use super::request::CallerRequest;
 use crate::activation;
@@ -8,30 +8,30 @@
 use quarantine::Fingerprint;
 use wire::RelayOutcome;
 
-/// Longest time for which a refused request is remembered, in milliseconds, whatever its caller says: a caller with a
-/// long deadline must not fill the table.
-const MOST_DEADLINE_MS: u64 = 60_000;
+/// Maximum time for which a refused request is remembered, in milliseconds, whatever its deadline:
+/// callers with long deadlines must not fill the table.
+const MAX_DEADLINE_MS: u64 = 60_000;
 
-/// One try of a caller, where the objective runs from the first.
+/// One try of a caller whose objective counts from its first try.
 #[derive(Debug, Clone, Copy)]
 pub struct Try {
     request: Fingerprint,
-    /// When the caller first tried.
+    /// When the caller tried first.
     pub first_at: Moment,
-    /// Whether this is a later try.
+    /// Whether this is a retry.
     pub is_retry: bool,
     /// When the caller gives up.
     deadline: Moment,
 }
 
-/// Looks whether the caller of a request was refused before; none where that isn't asked for, or the
-/// caller names no deadline by which it could be recognised.
+/// Checks whether the caller of a request was refused before; none where this function is off or
+/// the caller sends no deadline by which it could be recognised.
 pub fn recognise(node: &Node, call: &CallerRequest) -> Option<Try> {
     let now = node.now();
     if call.parent.is_some() || !is_on(node, now) {
         return None;
     }
-    let deadline = now + call.deadline_ms?.min(MOST_DEADLINE_MS) * MILLISECOND;
+    let deadline = now + call.deadline_ms?.min(MAX_DEADLINE_MS) * MILLISECOND;
     let is_host = |name: &str| name.eq_ignore_ascii_case("host");
     let host = call.headers.iter().find(|(name, _)| is_host(name));
     let host = host.map_or("", |(_, value)| value.as_str());
@@ -51,14 +51,19 @@
     })
 }
 
-/// Remembers a request that was not run, so that its caller's next try is recognised.
-pub fn note(node: &Node, this: Option<Try>, outcome: &RelayOutcome) {
-    let Some(this) = this else {
+/// Records a request that was not run, so that its caller's next try is recognised.
+pub fn record_outcome(node: &Node, caller_try: Option<Try>, outcome: &RelayOutcome) {
+    let Some(caller_try) = caller_try else {
         return;
     };
     if matches!(outcome, RelayOutcome::NotRun(_)) {
-        let mut returning = node.caller_retries.borrow_mut();
-        returning.record_refusal(node.now(), this.request, this.first_at, this.deadline);
+        let mut caller_retries = node.caller_retries.borrow_mut();
+        caller_retries.record_refusal(
+            node.now(),
+            caller_try.request,
+            caller_try.first_at,
+            caller_try.deadline,
+        );
     }
 }
 
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -1,10 +1,10 @@
-//! From a request to its outcome: service, policy, attempts.
+//! Processes a caller's request up to its outcome: service, policy, attempts.
 
 use super::admission;
 use super::request::CallerRequest;
 use super::response::{self, Response};
 use super::returned::{self, Try};
-use crate::candidates::{self, Connections, Drawn};
+use crate::candidates::{self, ConnectionStates, Selection};
 use crate::containment;
 use crate::entry_driver::{run_call, CallPlan};
 use crate::links;
@@ -33,100 +33,103 @@
 use std::time::Duration;
 use wire::{RelayOutcome, Request};
 
-/// Told to callers of a node that ends, in milliseconds: a restart takes about this long.
+/// Retry delay sent to callers of a node that is about to exit, in milliseconds: a restart takes
+/// about this long.
 const CLOSING_RETRY_MS: u64 = 300;
-/// Added to the priority of a request for the calls that are made for it, which puts them above all
-/// outer requests: when one is refused, the slot time that its request has used is lost.
-const INNER_PRIORITY: u8 = 10;
-/// Steps between the priorities of two accounts: all those of routes lie between them.
-const ACCOUNT_STEP: u8 = 10;
-/// What is added for calls where requests have accounts.
-const INNER_PRIORITY_OF_ACCOUNTS: u8 = ACCOUNT_STEP * (MAX_PRIORITY + 1);
-/// Headers that begin so are this program's own and are not passed on.
-const PREFIX: &str = "drumwheel-";
-/// Upstreams that may see a request of a policy that lets it run once: one that turns it away unrun may
-/// be followed by another.
-const LEAST_ARRIVALS: u32 = 2;
-/// Told to callers that came to a node without declarations, in milliseconds: a node that starts with all others and 1,500
-/// routes on a tenth of a core had them 0.3 s after it had read them.
-const BLANK_RETRY_MS: u64 = 300;
-/// Characters of a caller's word that a log line shows at most.
+/// Added to the priority of a request for the calls made by upstreams on its behalf, which ranks
+/// them above all client requests: when such a call is refused, the slot time that its request has
+/// used is lost.
+const CALL_PRIORITY: u8 = 10;
+/// Distance between the priorities of two accounts: the priorities of all routes fit in between.
+const ACCOUNT_PRIORITY_STEP: u8 = 10;
+/// Added instead where requests have accounts.
+const ACCOUNT_CALL_PRIORITY: u8 = ACCOUNT_PRIORITY_STEP * (MAX_PRIORITY + 1);
+/// Prefix of this program's own headers, which are not passed on.
+const OWN_PREFIX: &str = "drumwheel-";
+/// Minimum number of upstreams that may receive a request, also where its policy lets it run once:
+/// if one rejects it without running it, it may be offered to another.
+const MIN_ARRIVALS: u32 = 2;
+/// Retry delay sent to callers of a node without declarations, in milliseconds: a node that started
+/// at the same time as all others, with 1,500 routes and a tenth of a core, had them in force 0.3 s
+/// after it had read them.
+const NO_CONFIGURATION_RETRY_MS: u64 = 300;
+/// Maximum number of characters of a caller's header value in a log line.
 const MAX_LOGGED_CHARS: usize = 40;
-/// Told to callers of a node that was paused, in milliseconds.
-const NOT_SERVING_RETRY_MS: u64 = 1_000;
+/// Retry delay sent to callers of a node that was paused, in milliseconds.
+const PAUSED_RETRY_MS: u64 = 1_000;
 
-/// Carries a request to its outcome and writes the response.
+/// Processes a request and returns the response.
 pub async fn serve(
     node: &Rc<Node>,
     call: CallerRequest,
-    hung_up: impl Future<Output = ()>,
+    disconnected: impl Future<Output = ()>,
 ) -> Response {
-    let mut hung_up = pin!(hung_up);
+    let mut disconnected = pin!(disconnected);
     let began = node.now();
     let id = call.id.clone();
     let names = &node.cfg.headers;
-    if hung_up.as_mut().now_or_never().is_some() {
+    if disconnected.as_mut().now_or_never().is_some() {
         // The request may have waited long in the buffers of a paused process.
-        return response::outcome(names, RelayOutcome::Unknown(Reason::Lost));
+        return response::for_outcome(names, RelayOutcome::Unknown(Reason::Lost));
     }
-    let outcome = outcome(node, call, hung_up).await;
+    let outcome = run_request(node, call, disconnected).await;
     let took_us = node.now().since(began);
     audit::call_ended(&id, &outcome, took_us);
-    response::outcome(names, outcome)
+    response::for_outcome(names, outcome)
 }
 
-async fn outcome(
+async fn run_request(
     node: &Rc<Node>,
     mut call: CallerRequest,
-    hung_up: impl Future<Output = ()>,
+    disconnected: impl Future<Output = ()>,
 ) -> RelayOutcome {
     if node.closing.get() {
-        return closing(&call);
+        return closing_outcome(&call);
     }
-    let Some(in_force) = in_force_soon(node, &call).await else {
-        return blank(&call);
+    let Some(in_force) = wait_for_revision(node, &call).await else {
+        return unconfigured_outcome(&call);
     };
     let waited_ms = node.now().since(call.received) / MILLISECOND;
     call.deadline_ms = call.deadline_ms.map(|ms| ms.saturating_sub(waited_ms));
-    let fixed = in_force.declarations.find_route(&call.host, &call.path);
-    if let Some(route) = fixed.cloned() {
+    let route = in_force.declarations.find_route(&call.host, &call.path);
+    if let Some(route) = route.cloned() {
         let caller_try = returned::recognise(node, &call);
-        let outcome = by_route(node, &in_force, &route, call, caller_try, hung_up).await;
-        returned::note(node, caller_try, &outcome);
+        let outcome = run_on_route(node, &in_force, &route, call, caller_try, disconnected).await;
+        returned::record_outcome(node, caller_try, &outcome);
         return outcome;
     }
     let Some(service) = in_force.declarations.find_service(&call.host, &call.path) else {
         let revision = in_force.configuration.head.revision;
         audit::no_route(&call.id, &call.host, &call.path, revision);
-        return refused(Reason::NoService, 0);
+        return not_run(Reason::NoService, 0);
     };
-    let ruled = treat(node, service, &call);
-    if ruled.refuse.is_some() {
-        return refused(Reason::Policy, 0);
+    let policy_treatment = evaluate_policy(node, service, &call);
+    if policy_treatment.refuse.is_some() {
+        return not_run(Reason::Policy, 0);
     }
-    let Some(deadline) = deadline(node, &ruled, &call) else {
-        return too_late(&call);
+    let Some(deadline) = deadline(node, &policy_treatment, &call) else {
+        return late_outcome(&call);
     };
     let admitted = match admit(node, &in_force, &mut call, service.open, deadline).await {
         Ok(admitted) => admitted,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
     let treatment = Treatment {
-        repeatable: ruled.repeatable,
-        priority: priority(&ruled, &call, admitted.account.as_deref()),
-        max_runs: attempts(&ruled, call.level),
-        max_arrivals: ruled.attempts.max(LEAST_ARRIVALS),
+        repeatable: policy_treatment.repeatable,
+        priority: priority(&policy_treatment, &call, admitted.account.as_deref()),
+        max_runs: max_runs(&policy_treatment, call.level),
+        max_arrivals: policy_treatment.attempts.max(MIN_ARRIVALS),
         origin: origin(&call),
     };
-    let key = call.key.clone().filter(|_| !ruled.repeatable);
-    let req = Arc::new(request(node, &service.name, call));
-    let suspect_order = match order_of(node, &req) {
+    let key = call.key.clone().filter(|_| !policy_treatment.repeatable);
+    let req = Arc::new(build_request(node, &service.name, call));
+    let suspect_order = match suspect_order(node, &req) {
         Ok(order) => order,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
     if let Some(key) = key {
-        let outcome = owned(node, &in_force, key, treatment.priority, req, deadline).await;
-        settle(node, admitted, &outcome);
+        let outcome = run_keyed(node, &in_force, key, treatment.priority, req, deadline).await;
+        return_unused_token(node, admitted, &outcome);
         return outcome;
     }
     let plan = CallPlan {
@@ -134,23 +137,23 @@
         suspect_order,
         candidates: node.candidates(&in_force, service),
         reserve: Vec::new(),
-        price: Price::of(ruled.priority, 0, true),
+        price: Price::of(policy_treatment.priority, 0, true),
         treatment,
         req,
         key: None,
         deadline,
     };
-    let outcome = direct(node, plan, hung_up).await;
-    settle(node, admitted, &outcome);
+    let outcome = run_unkeyed(node, plan, disconnected).await;
+    return_unused_token(node, admitted, &outcome);
     outcome
 }
 
-/// The revision in force. A node that has just started has one in a moment: callers who come before that wait
-/// for it, and longer while it is being read.
-async fn in_force_soon(node: &Rc<Node>, call: &CallerRequest) -> Option<Arc<InForce>> {
+/// The revision in force. A node that has just started has none yet: callers wait a short time for
+/// it, and longer while it is being read.
+async fn wait_for_revision(node: &Rc<Node>, call: &CallerRequest) -> Option<Arc<InForce>> {
     let arrived = node.now();
     let time_us = call.deadline_ms.unwrap_or(0).saturating_mul(MILLISECOND);
-    let mut place = None;
+    let mut reservation = None;
     loop {
         let in_force = node.in_force();
         if in_force.is_some() {
@@ -166,146 +169,159 @@
         if now >= until {
             return None;
         }
-        if first_read.needs_reservation(now) && place.is_none() {
-            place = Some(node.startup_waiters.reserve(call.bytes())?);
+        if first_read.needs_reservation(now) && reservation.is_none() {
+            reservation = Some(node.startup_waiters.reserve(call.size_bytes())?);
         }
-        let limit_us = first_read.next_check(now, until).since(now);
-        let limit = Duration::from_micros(limit_us);
-        node.first_declarations.wait(limit).await;
+        let wait_us = first_read.next_check(now, until).since(now);
+        let timeout = Duration::from_micros(wait_us);
+        node.first_declarations.wait(timeout).await;
     }
 }
 
-/// Carries out a request whose route says how it is treated.
-async fn by_route(
+/// Runs a request whose route specifies its treatment.
+async fn run_on_route(
     node: &Rc<Node>,
     in_force: &InForce,
     route: &Route,
     mut call: CallerRequest,
     caller_try: Option<Try>,
-    hung_up: impl Future<Output = ()>,
+    disconnected: impl Future<Output = ()>,
 ) -> RelayOutcome {
-    let ruled = &route.treatment;
-    let Some(deadline) = deadline(node, ruled, &call) else {
-        return too_late(&call);
+    let policy_treatment = &route.treatment;
+    let Some(deadline) = deadline(node, policy_treatment, &call) else {
+        return late_outcome(&call);
     };
     let admitted = match admit(node, in_force, &mut call, route.open, deadline).await {
         Ok(admitted) => admitted,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
     let service = node.select_service(route);
-    let is_inner = call.parent.is_some();
-    let priority = priority(ruled, &call, admitted.account.as_deref());
+    let is_upstream_call = call.parent.is_some();
+    let priority = priority(policy_treatment, &call, admitted.account.as_deref());
     let treatment = Treatment {
-        repeatable: ruled.repeatable,
+        repeatable: policy_treatment.repeatable,
         priority,
-        max_runs: attempts(ruled, call.level),
-        max_arrivals: ruled.attempts,
+        max_runs: max_runs(policy_treatment, call.level),
+        max_arrivals: policy_treatment.attempts,
         origin: origin(&call),
     };
-    if is_inner {
+    if is_upstream_call {
         node.entry.borrow_mut().add_dependency(&service);
     }
     let deadline_ms = call.deadline_ms;
-    let caller_told = told_caller(node, &call);
-    let req = Arc::new(request(node, &service, call));
+    let claimed_caller = claimed_caller(node, &call);
+    let req = Arc::new(build_request(node, &service, call));
     audit::request_routed(&Routed {
         req: &req,
         route,
         revision: in_force.configuration.head.revision,
-        caller: caller_named(node).as_ref(),
-        claimed_caller: caller_told.as_deref(),
+        caller: local_caller(node).as_ref(),
+        claimed_caller: claimed_caller.as_deref(),
         deadline_ms,
         since_first_try_ms: caller_try.map_or(0, |caller_try| {
             node.now().since(caller_try.first_at) / MILLISECOND
         }),
         calls_in_progress: node.open_calls.get(),
     });
-    let suspect_order = match order_of(node, &req) {
+    let suspect_order = match suspect_order(node, &req) {
         Ok(order) => order,
         Err(refusal) => return RelayOutcome::NotRun(refusal),
     };
-    let crossing = if is_inner { priority } else { ruled.priority };
-    let drawn = registered_soon(node, &service, deadline).await;
+    let crossing_priority = if is_upstream_call {
+        priority
+    } else {
+        policy_treatment.priority
+    };
+    let selection = wait_for_candidates(node, &service, deadline).await;
     let plan = CallPlan {
         caller_try,
         suspect_order,
-        candidates: drawn.candidates,
-        reserve: drawn.reserve,
+        candidates: selection.candidates,
+        reserve: selection.reserve,
         treatment,
         req,
         key: None,
         deadline,
-        price: Price::of(crossing, route.objective_ms * MILLISECOND, is_inner),
+        price: Price::of(
+            crossing_priority,
+            route.objective_ms * MILLISECOND,
+            is_upstream_call,
+        ),
     };
-    let outcome = direct(node, plan, hung_up).await;
-    settle(node, admitted, &outcome);
+    let outcome = run_unkeyed(node, plan, disconnected).await;
+    return_unused_token(node, admitted, &outcome);
     outcome
 }
 
-/// A request that may go on.
+/// A request that was admitted.
 struct Admitted {
-    /// In whose name; none where no account is needed.
+    /// The account on whose behalf it is processed; none where no account is needed.
     account: Option<Arc<Account>>,
-    /// What it has taken of the account's limit.
+    /// Its token for the account's limit.
     token: Option<Token>,
 }
 
-/// Finds out who asks, and whether the account may ask more now.
+/// Identifies the account of a request and takes a token where the account is limited.
 async fn admit(
     node: &Rc<Node>,
     in_force: &InForce,
     call: &mut CallerRequest,
-    is_open: bool,
+    allows_anonymous: bool,
     deadline: Moment,
 ) -> Result<Admitted, Refusal> {
-    let account = admission::identify(in_force, call, is_open, proof(node))?;
+    let account = admission::identify(in_force, call, allows_anonymous, key_freshness(node))?;
     call.account = account.as_ref().map(|account| account.name.clone());
     let peers = links::Peers(node.clone());
     let token = admission::admit(&node.quotas, &peers, call, account.as_deref(), deadline).await?;
     Ok(Admitted { account, token })
 }
 
-/// Gives back what a request has taken that has not run.
-fn settle(node: &Rc<Node>, admitted: Admitted, outcome: &RelayOutcome) {
+/// Returns the token of a request that has not run.
+fn return_unused_token(node: &Rc<Node>, admitted: Admitted, outcome: &RelayOutcome) {
     let peers = links::Peers(node.clone());
-    admission::settle(&node.quotas, &peers, admitted.token, outcome);
+    admission::return_unused_token(&node.quotas, &peers, admitted.token, outcome);
 }
 
-/// How new what is known of accounts is, and must be.
-fn proof(node: &Node) -> Freshness {
-    let bound_ms = node.cfg.accounts.withdrawn_within_ms;
+/// The age of the known account keys and its bound.
+fn key_freshness(node: &Node) -> Freshness {
+    let max_age_ms = node.cfg.accounts.withdrawn_within_ms;
     Freshness {
         age_us: node.watch.borrow().age_us(node.now()),
-        max_age_us: bound_ms.map(|ms| ms * MILLISECOND),
+        max_age_us: max_age_ms.map(|ms| ms * MILLISECOND),
     }
 }
 
-/// The account's priority goes before the route's, and calls go before all outer requests.
-fn priority(ruled: &policy::Treatment, call: &CallerRequest, account: Option<&Account>) -> u8 {
+/// The account's priority outranks the route's, and calls made by upstreams outrank all client
+/// requests.
+fn priority(
+    policy_treatment: &policy::Treatment,
+    call: &CallerRequest,
+    account: Option<&Account>,
+) -> u8 {
     match &call.parent {
         Some(parent) if parent.account.is_some() => {
-            parent.priority.saturating_add(INNER_PRIORITY_OF_ACCOUNTS)
+            parent.priority.saturating_add(ACCOUNT_CALL_PRIORITY)
         }
-        Some(parent) => parent.priority.saturating_add(INNER_PRIORITY),
-        None => account.map_or(ruled.priority, |account| {
-            account.priority * ACCOUNT_STEP + ruled.priority
+        Some(parent) => parent.priority.saturating_add(CALL_PRIORITY),
+        None => account.map_or(policy_treatment.priority, |account| {
+            account.priority * ACCOUNT_PRIORITY_STEP + policy_treatment.priority
         }),
     }
 }
 
-/// The upstreams that registered for `service`. A node that has just started knows none in a moment: callers who come before
-/// that wait for them.
-async fn registered_soon(node: &Rc<Node>, service: &Name, deadline: Moment) -> Drawn {
+/// Candidates among the upstreams that are registered for `service`. A node that has just started
+/// knows none yet: callers wait a short time for them.
+async fn wait_for_candidates(node: &Rc<Node>, service: &Name, deadline: Moment) -> Selection {
     let first_read = *node.first_read.borrow();
     let until = first_read.upstream_wait_deadline().min(deadline);
     loop {
-        let drawn = registered(node, service);
+        let selection = select_candidates(node, service);
         let now = node.now();
-        if !drawn.candidates.is_empty() || now >= until || knows_all_records(node) {
-            return drawn;
+        if !selection.candidates.is_empty() || now >= until || knows_all_records(node) {
+            return selection;
         }
-        let limit = Duration::from_micros(until.since(now));
-        node.fleet_change.wait(limit).await;
+        let timeout = Duration::from_micros(until.since(now));
+        node.fleet_change.wait(timeout).await;
     }
 }
 
@@ -314,45 +330,45 @@
     registration.is_none_or(|registration| registration.has_read_records.get())
 }
 
-/// The upstreams that registered for `service`, among which a request chooses.
-fn registered(node: &Rc<Node>, service: &Name) -> Drawn {
+/// Candidates among the upstreams that are registered for `service`.
+fn select_candidates(node: &Rc<Node>, service: &Name) -> Selection {
     let Some(registration) = &node.registration else {
-        return Drawn::default();
+        return Selection::default();
     };
     let now = node.now();
-    let connections = Connections {
+    let connections = ConnectionStates {
         is_evacuated: &|hall| registration.is_evacuated(now, hall),
-        is_up: &|vm| links::is_connected(node, vm),
-        is_apart: &|vm| links::can_dial(node, vm),
-        has_failed: &|vm| links::has_failed(node, vm),
+        is_connected: &|vm| links::is_connected(node, vm),
+        is_disconnected: &|vm| links::can_dial(node, vm),
+        has_failed_recently: &|vm| links::has_failed(node, vm),
     };
-    let drawn = candidates::registered(&registration.fleet.borrow(), service, &connections);
-    for vm in &drawn.to_dial {
+    let selection = candidates::select(&registration.fleet.borrow(), service, &connections);
+    for vm in &selection.to_dial {
         links::dial(node, vm);
     }
-    drawn
+    selection
 }
 
-/// The service in whose name calls from this VM are made, and what says so.
-fn caller_named(node: &Node) -> Option<LocalService> {
-    let believed = node
+/// The service to which calls from this VM are attributed, and the origin of that information.
+fn local_caller(node: &Node) -> Option<LocalService> {
+    let registered = node
         .registration
         .as_deref()
         .and_then(registration::local_service);
-    let beside = registration::configured_upstream(node);
-    node.caller_name.choose(&beside, believed.as_ref())
+    let configured = registration::configured_upstream(node);
+    node.caller_name.choose(&configured, registered.as_ref())
 }
 
-/// The service in whose name a caller says that it calls; it is never believed.
-fn told_caller(node: &Node, call: &CallerRequest) -> Option<String> {
+/// The service that a caller claims to be, for the log only; it is not trusted.
+fn claimed_caller(node: &Node, call: &CallerRequest) -> Option<String> {
     let name = node.cfg.headers.caller_service.as_deref()?;
-    let told = http1::header_value(&call.headers, name)?;
-    Some(told.chars().take(MAX_LOGGED_CHARS).collect())
+    let claimed = http1::header_value(&call.headers, name)?;
+    Some(claimed.chars().take(MAX_LOGGED_CHARS).collect())
 }
 
-/// Where a request may run under which an upstream has ended; none if there was no such end. A request that is
-/// held is refused at once.
-fn order_of(node: &Node, req: &Request) -> Result<Option<Vec<Name>>, Refusal> {
+/// VMs at which a request may run if an upstream has terminated while it ran a copy; none if that
+/// has not happened. A quarantined request is refused at once.
+fn suspect_order(node: &Node, req: &Request) -> Result<Option<Vec<Name>>, Refusal> {
     match containment::verdict(node, req) {
         Verdict::Free => Ok(None),
         Verdict::Suspect => {
@@ -363,38 +379,42 @@
     }
 }
 
-/// When the request must have its answer; none when that has passed already.
-fn deadline(node: &Node, ruled: &policy::Treatment, call: &CallerRequest) -> Option<Moment> {
+/// Deadline of the request; none if it has passed already.
+fn deadline(
+    node: &Node,
+    policy_treatment: &policy::Treatment,
+    call: &CallerRequest,
+) -> Option<Moment> {
     let limit_ms = call
         .deadline_ms
-        .unwrap_or(ruled.deadline_ms)
-        .min(ruled.deadline_ms);
-    let left_us = (limit_ms * MILLISECOND).saturating_sub(node.paused_for_us());
-    (left_us > 0).then(|| node.now() + left_us)
+        .unwrap_or(policy_treatment.deadline_ms)
+        .min(policy_treatment.deadline_ms);
+    let remaining_us = (limit_ms * MILLISECOND).saturating_sub(node.paused_for_us());
+    (remaining_us > 0).then(|| node.now() + remaining_us)
 }
 
-/// The caller's time passed while this process was paused.
-fn too_late(call: &CallerRequest) -> RelayOutcome {
+/// The deadline has passed while this process was paused.
+fn late_outcome(call: &CallerRequest) -> RelayOutcome {
     if call.key.is_some() {
         return RelayOutcome::Unknown(Reason::Deadline);
     }
-    refused(Reason::Deadline, NOT_SERVING_RETRY_MS)
+    not_run(Reason::Deadline, PAUSED_RETRY_MS)
 }
 
-/// A node that is about to end takes no request any more; its successor, or another node, will.
-fn closing(call: &CallerRequest) -> RelayOutcome {
+/// A node that is about to exit accepts no requests any more; its successor or another node will.
+fn closing_outcome(call: &CallerRequest) -> RelayOutcome {
     if call.key.is_some() {
         return RelayOutcome::Unknown(Reason::Leaving);
     }
-    refused(Reason::Leaving, CLOSING_RETRY_MS)
+    not_run(Reason::Leaving, CLOSING_RETRY_MS)
 }
 
-/// A node without configuration can't tell whether an earlier try with the same key ran.
-fn blank(call: &CallerRequest) -> RelayOutcome {
+/// A node without a configuration can't tell whether an earlier try with the same key ran.
+fn unconfigured_outcome(call: &CallerRequest) -> RelayOutcome {
     if call.key.is_some() {
         return RelayOutcome::Unknown(Reason::NoConfiguration);
     }
-    refused(Reason::NoConfiguration, BLANK_RETRY_MS)
+    not_run(Reason::NoConfiguration, NO_CONFIGURATION_RETRY_MS)
 }
 
 fn origin(call: &CallerRequest) -> Origin {
@@ -406,16 +426,16 @@
     }
 }
 
-/// Only the outermost level repeats a request; twelve levels don't multiply it.
-fn attempts(ruled: &policy::Treatment, level: u32) -> u32 {
+/// Only level 0 repeats a request, so that repeats don't multiply over twelve levels of calls.
+fn max_runs(policy_treatment: &policy::Treatment, level: u32) -> u32 {
     if level == 0 {
-        ruled.attempts
+        policy_treatment.attempts
     } else {
         1
     }
 }
 
-fn treat(node: &Rc<Node>, service: &Service, call: &CallerRequest) -> policy::Treatment {
+fn evaluate_policy(node: &Rc<Node>, service: &Service, call: &CallerRequest) -> policy::Treatment {
     let headers = call
         .headers
         .iter()
@@ -432,20 +452,21 @@
     };
     service.policy.evaluate(&input).unwrap_or_else(|error| {
         stats::policy_failed();
-        tracing::debug!(service = %service.name, error, "a policy failed");
+        tracing::debug!(service = %service.name, error, "policy evaluation failed");
         policy::Treatment::safest()
     })
 }
 
-fn request(node: &Node, service: &Name, call: CallerRequest) -> Request {
+fn build_request(node: &Node, service: &Name, call: CallerRequest) -> Request {
     let names = &node.cfg.headers;
-    let own =
-        |name: &str| name.len() > PREFIX.len() && name[..PREFIX.len()].eq_ignore_ascii_case(PREFIX);
+    let is_own = |name: &str| {
+        name.len() > OWN_PREFIX.len() && name[..OWN_PREFIX.len()].eq_ignore_ascii_case(OWN_PREFIX)
+    };
     let mut headers = call.headers;
-    headers.retain(|(name, _)| !own(name));
+    headers.retain(|(name, _)| !is_own(name));
     if let Some(name) = &names.caller_service {
         headers.retain(|(other, _)| !other.eq_ignore_ascii_case(name));
-        let caller = caller_named(node);
+        let caller = local_caller(node);
         headers.extend(caller.map(|named| (name.clone(), named.service.to_string())));
     }
     if let Some(name) = &names.account {
@@ -464,7 +485,7 @@
     }
 }
 
-async fn owned(
+async fn run_keyed(
     node: &Rc<Node>,
     in_force: &InForce,
     key: String,
@@ -484,21 +505,26 @@
     relay::run(node, in_force, relay, deadline).await
 }
 
-async fn direct(
+async fn run_unkeyed(
     node: &Rc<Node>,
     plan: CallPlan,
-    hung_up: impl Future<Output = ()>,
+    disconnected: impl Future<Output = ()>,
 ) -> RelayOutcome {
     let began = node.now();
     let service = plan.req.service.clone();
-    let outcome = match run_call(node, plan, hung_up).await.outcome {
+    let outcome = match run_call(node, plan, disconnected).await.outcome {
         Some(Outcome::Answered(answer)) => RelayOutcome::Answered(answer),
         Some(Outcome::NotRun(refusal)) => RelayOutcome::NotRun(refusal),
         Some(Outcome::Unknown(reason)) => RelayOutcome::Unknown(reason),
         None => RelayOutcome::Unknown(Reason::Lost),
     };
-    let told = outcome_name(&outcome);
-    stats::record_latency(Stage::Total, &service, told, node.now().since(began));
+    let outcome_name = outcome_name(&outcome);
+    stats::record_latency(
+        Stage::Total,
+        &service,
+        outcome_name,
+        node.now().since(began),
+    );
     outcome
 }
 
@@ -510,7 +536,7 @@
     }
 }
 
-fn refused(reason: Reason, retry_after_ms: u64) -> RelayOutcome {
+fn not_run(reason: Reason, retry_after_ms: u64) -> RelayOutcome {
     RelayOutcome::NotRun(Refusal {
         reason,
         retry_after_ms,
--- a/components/daemon/src/candidates.rs
+++ b/components/daemon/src/candidates.rs
@@ -1,119 +1,128 @@
-//! The registered upstreams among which a request chooses.
+//! Selects the registered upstreams that are candidates for a request.
 
 use entry::Candidate;
 use names::Name;
 use rand::seq::IndexedRandom;
 use registry::Fleet;
 
-/// Upstreams of the own hall among which one request chooses at most; more are drawn at random, so
-/// that the choice costs the same among hundreds.
-const NEAR_CANDIDATES: usize = 8;
-/// The same of each other hall.
-const FAR_CANDIDATES: usize = 3;
-/// Nodes of each other hall to which a connection is kept for each service that is called here: one
-/// may fail, and connections between halls cost bytes.
-const FAR_CONNECTED: usize = 2;
-/// The same where the own hall has as many upstreams as one request chooses among. At 295 VMs these
-/// connections were half of the bytes between halls of a quiet day, for 250 offers.
-const FAR_CONNECTED_OF_MANY: usize = 1;
+/// Maximum number of candidates from the own hall. If there are more upstreams, a random sample is
+/// taken, so that the selection costs the same among hundreds.
+const MAX_OWN_HALL_CANDIDATES: usize = 8;
+/// Maximum number of candidates from each other hall.
+const MAX_CROSS_HALL_CANDIDATES: usize = 3;
+/// Nodes of each other hall to which connections are kept for each service that is called from this
+/// node: one may fail, and connections between halls cost bytes.
+const CROSS_HALL_CONNECTIONS: usize = 2;
+/// The same where the own hall alone supplies the maximum number of candidates. At 295 VMs,
+/// cross-hall connections made up half of the bytes between halls under low load, while they
+/// carried only 250 offers.
+const CROSS_HALL_CONNECTIONS_OWN_HALL_FULL: usize = 1;
 
-/// The same where the own hall has none, because it is evacuated or down: all requests cross, and few connections would
-/// put them on few upstreams.
-const FAR_CONNECTED_OF_NONE: usize = 4;
+/// The same where the own hall has no upstreams, because it is evacuated or down: all requests go
+/// to other halls, and too few connections would concentrate them on too few upstreams.
+const CROSS_HALL_CONNECTIONS_OWN_HALL_EMPTY: usize = 4;
 
-/// What a node knows of its connections, for a choice.
-pub struct Connections<'a> {
-    /// Whether one to a node is open: near ones are dialled again and again, so one without a connection is cut off or
-    /// gone.
-    pub is_up: &'a dyn Fn(&Name) -> bool,
-    /// Whether there is none to a node and none is being opened.
-    pub is_apart: &'a dyn Fn(&Name) -> bool,
-    /// Whether opening one to a node has failed lately.
-    pub has_failed: &'a dyn Fn(&Name) -> bool,
-    /// Whether the upstreams of a hall get no new work.
+/// Connection state of other nodes, and the evacuated halls, for the selection.
+pub struct ConnectionStates<'a> {
+    /// Whether a connection to the node is open. Nodes of the own hall are dialled repeatedly, so
+    /// one without a connection is unreachable or gone.
+    pub is_connected: &'a dyn Fn(&Name) -> bool,
+    /// Whether there is no connection to the node and none is being opened.
+    pub is_disconnected: &'a dyn Fn(&Name) -> bool,
+    /// Whether opening a connection to the node has failed recently.
+    pub has_failed_recently: &'a dyn Fn(&Name) -> bool,
+    /// Whether the hall is evacuated, so that its upstreams get no new work.
     pub is_evacuated: &'a dyn Fn(&Name) -> bool,
 }
 
-/// The upstreams among which a request chooses, and nodes of other halls to which connections are to be opened for the
-/// requests that follow.
+/// The candidates for a request, and the nodes of other halls to which connections are to be opened
+/// for subsequent requests.
 #[derive(Debug, Default)]
-pub struct Drawn {
-    /// The upstreams.
+pub struct Selection {
+    /// Upstreams to which the request may be offered.
     pub candidates: Vec<Candidate>,
-    /// One of each other hall to which no connection is open. When all connected upstreams had just ended, requests were
-    /// refused until a connection to another one was open.
+    /// One upstream without an open connection from each other hall. Without these, requests were
+    /// refused after all connected upstreams had terminated, until a connection to another one was
+    /// open.
     pub reserve: Vec<Candidate>,
-    /// The nodes.
+    /// Nodes to which connections are to be opened.
     pub to_dial: Vec<Name>,
 }
 
-/// Draws among the upstreams that registered for `service` and take new work.
-pub fn registered(fleet: &Fleet, service: &Name, connections: &Connections<'_>) -> Drawn {
+/// Selects candidates at random among the upstreams that are registered for `service` and accept
+/// new work.
+pub fn select(fleet: &Fleet, service: &Name, connections: &ConnectionStates<'_>) -> Selection {
     let own = fleet.own();
-    let is_reached = |vm: &&Name| **vm == own.vm || (connections.is_up)(vm);
-    let mut drawn = Drawn::default();
-    let is_open = |hall: &Name| !(connections.is_evacuated)(hall);
+    let is_connected = |vm: &&Name| **vm == own.vm || (connections.is_connected)(vm);
+    let mut selection = Selection::default();
+    let accepts_work = |hall: &Name| !(connections.is_evacuated)(hall);
     let halls: Vec<(&Name, &[Name])> = fleet
         .ready(service.as_str())
-        .filter(|(hall, _)| is_open(hall))
+        .filter(|(hall, _)| accepts_work(hall))
         .collect();
-    let far_connected = far_connected(&halls, &own.hall);
+    let cross_hall_connections = cross_hall_connections(&halls, &own.hall);
     for (hall, vms) in halls.iter().copied() {
         let same_hall = *hall == own.hall;
-        let reached: Vec<&Name> = vms.iter().filter(is_reached).collect();
-        let most = if same_hall {
-            NEAR_CANDIDATES
+        let connected: Vec<&Name> = vms.iter().filter(is_connected).collect();
+        let max = if same_hall {
+            MAX_OWN_HALL_CANDIDATES
         } else {
-            FAR_CANDIDATES
+            MAX_CROSS_HALL_CANDIDATES
         };
-        drawn
+        selection
             .candidates
-            .extend(draw(&own.vm, &reached, most, same_hall));
+            .extend(sample(&own.vm, &connected, max, same_hall));
         if !same_hall {
-            let is_unreached = |vm: &&Name| !is_reached(vm) && !(connections.has_failed)(vm);
-            let unreached: Vec<&Name> = vms.iter().filter(is_unreached).collect();
-            drawn
+            let is_reserve =
+                |vm: &&Name| !is_connected(vm) && !(connections.has_failed_recently)(vm);
+            let reserve: Vec<&Name> = vms.iter().filter(is_reserve).collect();
+            selection
                 .reserve
-                .extend(draw(&own.vm, &unreached, 1, same_hall));
+                .extend(sample(&own.vm, &reserve, 1, same_hall));
         }
-        if !same_hall && reached.len() < far_connected {
-            let apart = vms.iter().filter(|vm| (connections.is_apart)(vm));
-            let apart: Vec<&Name> = apart.collect();
-            let missing = far_connected - reached.len();
-            let chosen = apart.choose_multiple(&mut rand::rng(), missing);
-            drawn.to_dial.extend(chosen.map(|vm| (*vm).clone()));
+        if !same_hall && connected.len() < cross_hall_connections {
+            let disconnected = vms.iter().filter(|vm| (connections.is_disconnected)(vm));
+            let disconnected: Vec<&Name> = disconnected.collect();
+            let missing = cross_hall_connections - connected.len();
+            let chosen = disconnected.choose_multiple(&mut rand::rng(), missing);
+            selection.to_dial.extend(chosen.map(|vm| (*vm).clone()));
         }
     }
-    if drawn.candidates.is_empty() {
-        // An offer waits for its connection.
+    if selection.candidates.is_empty() {
+        // The offer waits until its connection is open.
         for (hall, vms) in halls.iter().copied() {
             let all: Vec<&Name> = vms.iter().collect();
             let same_hall = *hall == own.hall;
-            drawn
-                .candidates
-                .extend(draw(&own.vm, &all, FAR_CANDIDATES, same_hall));
+            selection.candidates.extend(sample(
+                &own.vm,
+                &all,
+                MAX_CROSS_HALL_CANDIDATES,
+                same_hall,
+            ));
         }
     }
-    drawn
+    selection
 }
 
-/// How many nodes of another hall a connection is kept to for a service.
-fn far_connected(halls: &[(&Name, &[Name])], own: &Name) -> usize {
-    let near = halls.iter().find(|(hall, _)| *hall == own);
-    match near {
-        None => FAR_CONNECTED_OF_NONE,
-        Some((_, vms)) if vms.len() >= NEAR_CANDIDATES => FAR_CONNECTED_OF_MANY,
-        Some(_) => FAR_CONNECTED,
+/// Number of nodes of each other hall to which connections are kept for a service.
+fn cross_hall_connections(halls: &[(&Name, &[Name])], own_hall: &Name) -> usize {
+    let in_own_hall = halls.iter().find(|(hall, _)| *hall == own_hall);
+    match in_own_hall {
+        None => CROSS_HALL_CONNECTIONS_OWN_HALL_EMPTY,
+        Some((_, vms)) if vms.len() >= MAX_OWN_HALL_CANDIDATES => {
+            CROSS_HALL_CONNECTIONS_OWN_HALL_FULL
+        }
+        Some(_) => CROSS_HALL_CONNECTIONS,
     }
 }
 
-fn draw(me: &Name, vms: &[&Name], most: usize, same_hall: bool) -> Vec<Candidate> {
-    let drawn = vms.choose_multiple(&mut rand::rng(), most);
-    drawn
+fn sample(own_vm: &Name, vms: &[&Name], max: usize, same_hall: bool) -> Vec<Candidate> {
+    let chosen = vms.choose_multiple(&mut rand::rng(), max);
+    chosen
         .map(|vm| Candidate {
             vm: (*vm).clone(),
             same_hall,
-            local: *vm == me,
+            local: *vm == own_vm,
         })
         .collect()
 }
--- a/components/daemon/src/counted.rs
+++ b/components/daemon/src/counted.rs
@@ -1,12 +1,12 @@
-//! Work that counts as under way for as long as it lives, also when it is given up.
+//! Counts work in progress, including work whose future is dropped before it completes.
 
 use std::cell::Cell;
 
-/// One piece of work that is counted.
+/// Guard that counts one piece of work until it is dropped.
 pub struct CountGuard<'a>(&'a Cell<u32>);
 
 impl<'a> CountGuard<'a> {
-    /// Counts one more.
+    /// Increments the count.
     pub fn new(count: &'a Cell<u32>) -> CountGuard<'a> {
         count.set(count.get() + 1);
         CountGuard(count)
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -20,18 +20,18 @@
 use std::sync::Arc;
 use wire::{Frame, Request};
 
-/// Events of one call that may wait; a call has few attempts and each ends once.
-const EVENTS: usize = 32;
+/// Capacity of a call's event queue; a call has few attempts, and each ends once.
+const EVENT_QUEUE_LENGTH: usize = 32;
 
-/// One request on its way to an outcome.
-struct Running<'a> {
+/// A call in progress.
+struct RunningCall<'a> {
     node: &'a Rc<Node>,
     req: Arc<Request>,
     treatment: Treatment,
     key: Option<KeyHash>,
-    /// Since when its objective runs.
-    began: Moment,
-    /// Whether its caller was refused before.
+    /// When its objective began.
+    objective_start: Moment,
+    /// Whether its caller tries again after a refusal.
     is_retry: bool,
     price: Price,
     call: Call<SharedAnswer>,
@@ -39,21 +39,21 @@
     attempts: Vec<AttemptId>,
 }
 
-/// How a call ended.
+/// Result of a call.
 pub struct CallResult {
-    /// The outcome; none when the caller hung up.
+    /// The outcome; none when the caller disconnected.
     pub outcome: Option<Outcome<SharedAnswer>>,
-    /// Whether a home duty that knows the call's idempotency key refused an offer.
+    /// Whether a home duty that has records of the call's idempotency key refused an offer.
     pub has_certain_refusal: bool,
 }
 
-/// What a call needs to know.
+/// Input of a call.
 pub struct CallPlan {
     /// Upstreams that may serve it.
     pub candidates: Vec<Candidate>,
-    /// Upstreams to which no connection is open, for when none of those takes work any more.
+    /// Upstreams without an open connection, used once none of the candidates accepts work any more.
     pub reserve: Vec<Candidate>,
-    /// What the policy says.
+    /// Treatment by the policy.
     pub treatment: Treatment,
     /// The request.
     pub req: Arc<Request>,
@@ -61,21 +61,22 @@
     pub key: Option<KeyHash>,
     /// The caller's deadline.
     pub deadline: Moment,
-    /// The caller's try, where its objective runs from its first one.
+    /// The caller's try; set if its objective counts from its first try.
     pub caller_try: Option<Try>,
-    /// What an offer may cost.
+    /// Prices for the selection of an upstream.
     pub price: Price,
-    /// The VMs at which it may run, the best first, if an upstream ended while it ran a copy.
+    /// VMs at which the request may run, best first; set if an upstream has terminated while it ran
+    /// a copy.
     pub suspect_order: Option<Vec<Name>>,
 }
 
-/// Takes a request to its outcome.
+/// Runs a call until it has an outcome or its caller disconnects.
 pub async fn run_call(
     node: &Rc<Node>,
     plan: CallPlan,
-    hung_up: impl Future<Output = ()>,
+    disconnected: impl Future<Output = ()>,
 ) -> CallResult {
-    let (tx, rx) = async_channel::bounded(EVENTS);
+    let (tx, rx) = async_channel::bounded(EVENT_QUEUE_LENGTH);
     let price = plan.price;
     let call = Call::new(
         plan.req.service.clone(),
@@ -89,12 +90,12 @@
         Some(order) => call.with_suspect_order(order),
         None => call,
     };
-    let mut running = Running {
+    let mut running = RunningCall {
         node,
         req: plan.req,
         treatment: plan.treatment,
         key: plan.key,
-        began: plan
+        objective_start: plan
             .caller_try
             .map_or(node.now(), |caller_try| caller_try.first_at),
         is_retry: plan
@@ -105,8 +106,8 @@
         tx,
         attempts: Vec::new(),
     };
-    let outcome = running.run(&rx, plan.deadline, pin!(hung_up)).await;
-    running.forget();
+    let outcome = running.run(&rx, plan.deadline, pin!(disconnected)).await;
+    running.remove_waiters();
     while let Ok(event) = rx.try_recv() {
         running.step(event);
     }
@@ -119,12 +120,12 @@
     }
 }
 
-impl Running<'_> {
+impl RunningCall<'_> {
     async fn run(
         &mut self,
         rx: &Receiver<Event<SharedAnswer>>,
         deadline: Moment,
-        mut hung_up: Pin<&mut impl Future<Output = ()>>,
+        mut disconnected: Pin<&mut impl Future<Output = ()>>,
     ) -> Option<Outcome<SharedAnswer>> {
         let mut event = Event::Begin;
         loop {
@@ -135,16 +136,16 @@
                 return None;
             }
             let next = pin!(self.node.clock.timeout_at(deadline, rx.recv()));
-            event = match select(next, hung_up.as_mut()).await {
+            event = match select(next, disconnected.as_mut()).await {
                 Either::Left((Ok(Ok(event)), _)) => event,
-                Either::Left((_, _)) => self.expired(),
+                Either::Left((_, _)) => self.on_deadline(),
                 Either::Right(((), _)) => Event::CallerDisconnected,
             };
         }
     }
 
-    /// At the deadline an offer that never left this node was truly not run.
-    fn expired(&mut self) -> Event<SharedAnswer> {
+    /// At the deadline, an offer that never left this node is certain not to have run.
+    fn on_deadline(&mut self) -> Event<SharedAnswer> {
         let Some(id) = self.attempts.last().copied() else {
             return Event::Expired;
         };
@@ -163,7 +164,7 @@
     fn step(&mut self, event: Event<SharedAnswer>) -> Option<Outcome<SharedAnswer>> {
         let now = self.node.now();
         let is_straggler = matches!(event, Event::Straggles(_));
-        // An upstream may have ended under a copy since the call began.
+        // An upstream may have terminated while it ran a copy since the call began.
         if is_straggler && containment::verdict(self.node, &self.req) != Verdict::Free {
             self.call.forbid_hedge();
         }
@@ -202,13 +203,13 @@
         suspicion: Suspicion,
     ) {
         let node = self.node;
-        let left = self.call.deadline().since(node.now());
+        let remaining_us = self.call.deadline().since(node.now());
         let view = node.entry.borrow().view(&to);
         let offer = Offer {
             id,
             service: self.req.service.clone(),
-            remaining_us: left.saturating_sub(RETURN_TIME_US),
-            objective_us: self.objective_us(),
+            remaining_us: remaining_us.saturating_sub(RETURN_TIME_US),
+            objective_us: self.remaining_objective_us(),
             priority: self.treatment.priority,
             level: self.req.level,
             repeatable: self.treatment.repeatable,
@@ -243,19 +244,19 @@
         }
     }
 
-    /// Whether the node beside the upstream is asked to tell when the run takes much longer than usual. Calls made by
-    /// upstreams are not hedged: the request that they are made for is.
+    /// Whether the home duty is to report when the run takes much longer than typical. Calls made
+    /// by upstreams are not hedged, since the request for which they are made is.
     fn reports_straggler(&self) -> bool {
-        let is_of_client = self.treatment.origin == Origin::Client;
+        let is_client_request = self.treatment.origin == Origin::Client;
         let node = self.node;
-        is_of_client
+        is_client_request
             && self.call.may_hedge()
             && activation::is_on(node, node.now(), node.cfg.hedging.mode)
     }
 
-    /// What is left of the time within which an answer has its full worth.
-    fn objective_us(&self) -> Option<u64> {
-        let spent = self.node.now().since(self.began);
+    /// Remaining time within which an answer has its full value.
+    fn remaining_objective_us(&self) -> Option<u64> {
+        let spent = self.node.now().since(self.objective_start);
         let objective = self.price.objective_us;
         objective.map(|objective| objective.saturating_sub(spent))
     }
@@ -268,8 +269,8 @@
         }
     }
 
-    /// Takes the call's attempts out of the node's books; what comes for them now is late.
-    fn forget(&mut self) {
+    /// Removes the call's attempts from the node's table; events that arrive for them now are late.
+    fn remove_waiters(&mut self) {
         let mut waiters = self.node.waiters.borrow_mut();
         for id in &self.attempts {
             waiters.remove(id);
@@ -277,13 +278,13 @@
     }
 }
 
-/// Takes in the state of an upstream that came with an answer or a refusal.
+/// Applies the upstream state reported with an answer or a refusal.
 pub fn on_load_report(node: &Rc<Node>, vm: &Name, load: Load) {
     let now = node.now();
     node.entry.borrow_mut().on_report(now, vm, load);
 }
 
-/// Hands an event to the call that waits for the attempt; counts it as late when there is none.
+/// Delivers an event to the call that waits for the attempt; counts it as late when there is none.
 pub fn deliver(node: &Rc<Node>, id: AttemptId, event: Event<SharedAnswer>) {
     let refusal = match &event {
         Event::Refused(_, refusal) => Some(*refusal),
--- a/components/daemon/src/jobs.rs
+++ b/components/daemon/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Requests in progress: those that the home duty has taken in, and attempts that the entry duty waits for.
+//! Requests in progress: those offered to the home duty, and attempts for which the entry duty waits.
 
 use crate::links::Reply;
 use crate::node::{Node, SharedAnswer};
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use wire::Request;
 
-/// A request that a home duty has taken in.
+/// A request that was offered to the home duty.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The request.
     pub req: Arc<Request>,
-    /// Where its end is told.
+    /// Where its result is sent.
     pub reply: Reply,
     /// The caller's deadline on this node's clock.
     pub deadline: Moment,
@@ -24,54 +24,55 @@
     pub key: Option<KeyHash>,
     /// Priority at the home duty.
     pub priority: u8,
-    /// When it was taken in.
+    /// When the offer arrived.
     pub arrived_at: Moment,
     /// When it got a slot.
     pub started_at: Option<Moment>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Whether another upstream has seen it before.
+    /// Whether another upstream has received it before.
     pub repeat: bool,
-    /// Whether an upstream has ended while it ran a copy.
+    /// Whether an upstream has terminated while it ran a copy.
     pub suspect: bool,
-    /// What follows from the upstream's end, once it has ended while it ran this.
+    /// Set if the upstream terminated while it ran this request: what this means for the request.
     pub termination: Option<Suspect>,
-    /// The start of the upstream that ran it, if its answer says that it leaves.
+    /// The incarnation of the upstream that ran it, if its answer reports that it is draining.
     pub leaving: Option<Incarnation>,
-    /// Tells the running exchange that nobody waits for it.
+    /// Notifies the running exchange that its call no longer waits for it.
     pub cancel: Option<Sender<()>>,
 }
 
-/// In whose share the request runs; none where slots are not shared among accounts.
+/// The account whose share of the slots the request uses; none unless slots are shared among
+/// accounts.
 pub fn fair_share_account(node: &Node, req: &Request) -> Option<Name> {
     let is_fair = node.cfg.admission.fair_accounts;
     req.account.clone().filter(|_| is_fair)
 }
 
-/// A request that the upstream beside this node is serving, as a call made for it sees it.
+/// A request that the local upstream is processing, with the properties that its calls inherit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parent {
-    /// How many services it has passed.
+    /// Number of services that it has passed through.
     pub level: u32,
     /// Its priority.
     pub priority: u8,
-    /// Whether another upstream has seen it before.
+    /// Whether another upstream has received it before.
     pub repeat: bool,
-    /// The client account in whose name it runs.
+    /// The client account on whose behalf it runs.
     pub account: Option<Name>,
 }
 
-/// An entry-side attempt that has not ended.
+/// An attempt of the entry duty that has not ended.
 #[derive(Debug, Clone)]
 pub struct Waiter {
-    /// The call's events.
+    /// Receives the call's events.
     pub tx: Sender<Event<SharedAnswer>>,
-    /// The VM it was offered to.
+    /// The VM to which it was offered.
     pub vm: Name,
     /// When it was offered.
     pub offered_at: Moment,
-    /// Service that it is for.
+    /// The requested service.
     pub service: Name,
-    /// Boot of the home node once any byte of the offer may have left this node.
+    /// Boot of the home node; set once any byte of the offer may have left this node.
     pub sent_to_boot: Option<BootId>,
 }
