--- a/components/daemon/src/candidates.rs
+++ b/components/daemon/src/candidates.rs
@@ -12,15 +12,15 @@
 const MAX_CROSS_HALL_CANDIDATES: usize = 3;
 /// Nodes of each other hall to which connections are kept for each service that is called from this
 /// node: one may fail, and connections between halls cost bytes.
-const CROSS_HALL_CONNECTIONS: usize = 2;
+const CROSS_HALL_LINKS: usize = 2;
 /// The same where the own hall alone supplies the maximum number of candidates. At 295 VMs,
 /// cross-hall connections made up half of the bytes between halls under low load, while they
 /// carried only 250 offers.
-const CROSS_HALL_CONNECTIONS_OWN_HALL_FULL: usize = 1;
+const CROSS_HALL_LINKS_OWN_FULL: usize = 1;
 
 /// The same where the own hall has no upstreams, because it is evacuated or down: all requests go
 /// to other halls, and too few connections would concentrate them on too few upstreams.
-const CROSS_HALL_CONNECTIONS_OWN_HALL_EMPTY: usize = 4;
+const CROSS_HALL_LINKS_OWN_EMPTY: usize = 4;
 
 /// Connection state of other nodes, and the evacuated halls, for the selection.
 pub struct ConnectionStates<'a> {
@@ -60,18 +60,18 @@
         .ready(service.as_str())
         .filter(|(hall, _)| accepts_work(hall))
         .collect();
-    let cross_hall_connections = cross_hall_connections(&halls, &own.hall);
+    let cross_hall_links = cross_hall_links(&halls, &own.hall);
     for (hall, vms) in halls.iter().copied() {
         let same_hall = *hall == own.hall;
         let connected: Vec<&Name> = vms.iter().filter(is_connected).collect();
-        let max = if same_hall {
+        let limit = if same_hall {
             MAX_OWN_HALL_CANDIDATES
         } else {
             MAX_CROSS_HALL_CANDIDATES
         };
         selection
             .candidates
-            .extend(sample(&own.vm, &connected, max, same_hall));
+            .extend(sample(&own.vm, &connected, limit, same_hall));
         if !same_hall {
             let is_reserve =
                 |vm: &&Name| !is_connected(vm) && !(connections.has_failed_recently)(vm);
@@ -80,10 +80,10 @@
                 .reserve
                 .extend(sample(&own.vm, &reserve, 1, same_hall));
         }
-        if !same_hall && connected.len() < cross_hall_connections {
+        if !same_hall && connected.len() < cross_hall_links {
             let disconnected = vms.iter().filter(|vm| (connections.is_disconnected)(vm));
             let disconnected: Vec<&Name> = disconnected.collect();
-            let missing = cross_hall_connections - connected.len();
+            let missing = cross_hall_links - connected.len();
             let chosen = disconnected.choose_multiple(&mut rand::rng(), missing);
             selection.to_dial.extend(chosen.map(|vm| (*vm).clone()));
         }
@@ -105,19 +105,17 @@
 }
 
 /// Number of nodes of each other hall to which connections are kept for a service.
-fn cross_hall_connections(halls: &[(&Name, &[Name])], own_hall: &Name) -> usize {
+fn cross_hall_links(halls: &[(&Name, &[Name])], own_hall: &Name) -> usize {
     let in_own_hall = halls.iter().find(|(hall, _)| *hall == own_hall);
     match in_own_hall {
-        None => CROSS_HALL_CONNECTIONS_OWN_HALL_EMPTY,
-        Some((_, vms)) if vms.len() >= MAX_OWN_HALL_CANDIDATES => {
-            CROSS_HALL_CONNECTIONS_OWN_HALL_FULL
-        }
-        Some(_) => CROSS_HALL_CONNECTIONS,
+        None => CROSS_HALL_LINKS_OWN_EMPTY,
+        Some((_, vms)) if vms.len() >= MAX_OWN_HALL_CANDIDATES => CROSS_HALL_LINKS_OWN_FULL,
+        Some(_) => CROSS_HALL_LINKS,
     }
 }
 
-fn sample(own_vm: &Name, vms: &[&Name], max: usize, same_hall: bool) -> Vec<Candidate> {
-    let chosen = vms.choose_multiple(&mut rand::rng(), max);
+fn sample(own_vm: &Name, vms: &[&Name], limit: usize, same_hall: bool) -> Vec<Candidate> {
+    let chosen = vms.choose_multiple(&mut rand::rng(), limit);
     chosen
         .map(|vm| Candidate {
             vm: (*vm).clone(),
