--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -339,7 +339,7 @@
     let connections = ConnectionStates {
         is_evacuated: &|hall| registration.is_evacuated(now, hall),
         is_connected: &|vm| links::is_connected(node, vm),
-        is_disconnected: &|vm| links::can_dial(node, vm),
+        can_dial: &|vm| links::can_dial(node, vm),
         has_failed_recently: &|vm| links::has_failed(node, vm),
     };
     let selection = candidates::select(&registration.fleet.borrow(), service, &connections);
--- a/components/daemon/src/candidates.rs
+++ b/components/daemon/src/candidates.rs
@@ -27,8 +27,8 @@
     /// Whether a connection to the node is open. Nodes of the own hall are dialled repeatedly, so
     /// one without a connection is unreachable or gone.
     pub is_connected: &'a dyn Fn(&Name) -> bool,
-    /// Whether there is no connection to the node and none is being opened.
-    pub is_disconnected: &'a dyn Fn(&Name) -> bool,
+    /// Whether there is no connection to the node and none is being opened, so that one may be opened.
+    pub can_dial: &'a dyn Fn(&Name) -> bool,
     /// Whether opening a connection to the node has failed recently.
     pub has_failed_recently: &'a dyn Fn(&Name) -> bool,
     /// Whether the hall is evacuated, so that its upstreams get no new work.
@@ -81,10 +81,10 @@
                 .extend(sample(&own.vm, &reserve, 1, same_hall));
         }
         if !same_hall && connected.len() < cross_hall_links {
-            let disconnected = vms.iter().filter(|vm| (connections.is_disconnected)(vm));
-            let disconnected: Vec<&Name> = disconnected.collect();
+            let dialable = vms.iter().filter(|vm| (connections.can_dial)(vm));
+            let dialable: Vec<&Name> = dialable.collect();
             let missing = cross_hall_links - connected.len();
-            let chosen = disconnected.choose_multiple(&mut rand::rng(), missing);
+            let chosen = dialable.choose_multiple(&mut rand::rng(), missing);
             selection.to_dial.extend(chosen.map(|vm| (*vm).clone()));
         }
     }
