--- a/components/daemon/src/callers/returned.rs
+++ b/components/daemon/src/callers/returned.rs
@@ -18,7 +18,7 @@
     request: Fingerprint,
     /// When the caller tried first.
     pub first_at: Moment,
-    /// Whether this is a retry.
+    /// Whether an earlier try was refused.
     pub is_retry: bool,
     /// When the caller gives up.
     deadline: Moment,
--- a/components/daemon/src/candidates.rs
+++ b/components/daemon/src/candidates.rs
@@ -27,7 +27,7 @@
     /// Whether a connection to the node is open. Nodes of the own hall are dialled repeatedly, so
     /// one without a connection is unreachable or gone.
     pub is_connected: &'a dyn Fn(&Name) -> bool,
-    /// Whether there is no connection to the node and none is being opened, so that one may be opened.
+    /// Whether there is no connection to the node and none is being opened.
     pub can_dial: &'a dyn Fn(&Name) -> bool,
     /// Whether opening a connection to the node has failed recently.
     pub has_failed_recently: &'a dyn Fn(&Name) -> bool,
--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -31,7 +31,7 @@
     key: Option<KeyHash>,
     /// When its objective began.
     objective_start: Moment,
-    /// Whether its caller tries again after a refusal.
+    /// Whether an earlier try of its caller was refused.
     is_retry: bool,
     price: Price,
     call: Call<SharedAnswer>,
