--- a/components/daemon/src/boot_record.rs
+++ b/components/daemon/src/boot_record.rs
@@ -1,5 +1,5 @@
-//! The record of a VM's boots in the platform: what a boot leaves to its successor, and whether a
-//! boot that was paused is still the latest.
+//! The boot record of a VM in the platform's storage: the state that a boot saves for its
+//! successor, and whether a boot that was paused is still the latest.
 
 use crate::local;
 use crate::node::Node;
@@ -13,22 +13,22 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Record of a VM's boots, kept in the platform so that a successor knows what its predecessor
-/// left behind.
+/// Boot record of a VM, stored in the platform so that a boot learns which idempotency keys its
+/// predecessor knew.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootRecord {
-    /// The last boot.
+    /// The latest boot.
     pub boot: u64,
     /// Whether it ended by a planned stop.
     pub stopped: bool,
     /// Whether it knew the keys of its own predecessor.
     pub known: bool,
-    /// Keys used within the key window when it stopped.
+    /// Keys that had been used within the key window when it stopped.
     pub keys: Vec<KeyHash>,
 }
 
-/// Finds out what the predecessor of this boot left behind, and records this boot. Until that is
-/// done, a key without a record may have been used.
+/// Reads the keys that the predecessor of this boot saved, and records this boot. Until then, a key
+/// without a record may have been used.
 pub async fn run(node: Rc<Node>) {
     let started = node.now();
     let mut pause = MIN_PAUSE_MS;
@@ -36,29 +36,29 @@
         .borrow_mut()
         .set_uncertain_until(Moment(u64::MAX));
     loop {
-        match claim(&node).await {
+        match record_boot(&node).await {
             Ok(true) => return,
             Ok(false) => {
-                tracing::warn!("the predecessor was not stopped as planned; its keys are unknown");
+                tracing::warn!("the predecessor did not stop as planned; its keys are unknown");
                 node.unclean_until.set(started + KEY_RETENTION_US);
                 reset_uncertainty(&node);
                 recovery::run(node).await;
                 return;
             }
-            Err(error) => tracing::debug!(%error, "the record of boots was not written"),
+            Err(error) => tracing::debug!(%error, "writing the boot record failed"),
         }
         pause = back_off(pause).await;
     }
 }
 
-/// Leaves the keys of this boot for its successor. Part of a planned stop.
+/// Saves the keys of this boot for its successor. Part of a planned stop.
 pub async fn save_keys(node: &Rc<Node>) -> Result<()> {
     let key = boot_key(&node.cfg.vm);
     let current = node.platform.read(&key).await?;
     let version = current.map(|object| object.version);
     let uncertain = node.claims.borrow().is_uncertain(node.now());
     if uncertain {
-        let cause = "this boot itself does not know its predecessor's keys";
+        let cause = "the keys of this boot's predecessor are unknown";
         return Err(Error::new(Step::Platform, &key, cause));
     }
     let record = BootRecord {
@@ -69,11 +69,15 @@
     };
     match node.platform.write(&key, version, to_json(&record)).await? {
         WriteOutcome::Written => Ok(()),
-        WriteOutcome::Conflict => Err(Error::new(Step::Platform, &key, "another boot wrote it")),
+        WriteOutcome::Conflict => Err(Error::new(
+            Step::Platform,
+            &key,
+            "another boot has changed the boot record",
+        )),
     }
 }
 
-/// Every key that this boot coordinated, granted or ran within the key window.
+/// All keys that this boot coordinated, granted or ran within the key window.
 pub fn used_keys(node: &Rc<Node>) -> Vec<KeyHash> {
     let keys = node.keys.borrow();
     let claims = node.claims.borrow();
@@ -81,8 +85,8 @@
     used.into_iter().collect()
 }
 
-/// Writes this boot's record. Returns whether the predecessor's keys are known.
-async fn claim(node: &Rc<Node>) -> Result<bool> {
+/// Writes the record of this boot. Returns whether the predecessor's keys are known.
+async fn record_boot(node: &Rc<Node>) -> Result<bool> {
     let key = boot_key(&node.cfg.vm);
     let before = node.platform.read(&key).await?;
     let (version, record) = match before {
@@ -90,17 +94,21 @@
             let predecessor: BootRecord = serde_json::from_slice(&object.value)
                 .map_err(|error| Error::new(Step::Platform, &key, error))?;
             if predecessor.boot == node.boot.0 {
-                return Ok(settle(node, predecessor));
+                return Ok(adopt_record(node, predecessor));
             }
-            (Some(object.version), successor(node, predecessor))
+            (Some(object.version), successor_record(node, predecessor))
         }
         None => (None, first_record(node)),
     };
     let written = node.platform.write(&key, version, to_json(&record)).await?;
     if written == WriteOutcome::Conflict {
-        return Err(Error::new(Step::Platform, &key, "written meanwhile"));
+        return Err(Error::new(
+            Step::Platform,
+            &key,
+            "the boot record was changed between read and write",
+        ));
     }
-    Ok(settle(node, record))
+    Ok(adopt_record(node, record))
 }
 
 fn first_record(node: &Rc<Node>) -> BootRecord {
@@ -112,7 +120,7 @@
     }
 }
 
-fn successor(node: &Rc<Node>, predecessor: BootRecord) -> BootRecord {
+fn successor_record(node: &Rc<Node>, predecessor: BootRecord) -> BootRecord {
     BootRecord {
         boot: node.boot.0,
         stopped: false,
@@ -121,8 +129,8 @@
     }
 }
 
-/// Takes in what the record of this boot says of its predecessor.
-fn settle(node: &Rc<Node>, record: BootRecord) -> bool {
+/// Adopts the predecessor's keys from the record of this boot. Returns whether they are known.
+fn adopt_record(node: &Rc<Node>, record: BootRecord) -> bool {
     let now = node.now();
     node.keys.borrow_mut().adopt_keys(now, &record.keys);
     node.claims.borrow_mut().adopt_keys(now, &record.keys);
@@ -132,7 +140,7 @@
     record.known
 }
 
-/// Takes in that the process was paused.
+/// The process was paused: keys are uncertain until the boot record has been checked.
 pub fn on_pause(node: &Rc<Node>) {
     if node.checking_pause.replace(true) {
         return;
@@ -144,15 +152,16 @@
     local::spawn(run_after_pause(node.clone()));
 }
 
-/// This boot is the latest; it knows every key used since it can.
+/// This boot is the latest and has adopted all keys that it can learn. Keys remain uncertain only
+/// until the time at which the predecessor's unknown keys expire.
 pub fn reset_uncertainty(node: &Rc<Node>) {
     let mut claims = node.claims.borrow_mut();
     claims.clear_uncertainty();
     claims.set_uncertain_until(node.unclean_until.get());
 }
 
-/// After a pause this boot may have been replaced: until the platform says that it was not, a key
-/// without a record may have been used.
+/// After a pause this boot may have been replaced: until the platform confirms that it was not, a
+/// key without a record may have been used.
 pub async fn run_after_pause(node: Rc<Node>) {
     let key = boot_key(&node.cfg.vm);
     let mut pause = MIN_PAUSE_MS;
@@ -170,7 +179,7 @@
                 return;
             }
             Ok(None) => return,
-            Err(error) => tracing::debug!(%error, "the record of boots was not read"),
+            Err(error) => tracing::debug!(%error, "reading the boot record failed"),
         }
         pause = back_off(pause).await;
     }
--- a/components/daemon/src/recovery.rs
+++ b/components/daemon/src/recovery.rs
@@ -1,10 +1,10 @@
-//! How a node that replaced a crashed predecessor learns which idempotency keys were used.
+//! Recovery of used idempotency keys by a node whose predecessor crashed.
 //!
-//! Every key that ran at the predecessor's upstream is known to its coordinator, and every key that
-//! the predecessor coordinated is known where it ran: at other nodes of the same groups. When all
-//! of them have answered, this boot knows every key but those that only another crashed boot knew
-//! as well. It stays uncertain for as long as the most uncertain of those that answered: by then
-//! the windows of such keys have passed.
+//! A key that ran at the predecessor's upstream is known to its coordinator, and a key that the
+//! predecessor coordinated is known to the node of the upstream where it ran: all are other nodes
+//! of the same groups. When all of them have replied, this boot knows every key but those whose
+//! only other holder has crashed as well. This boot stays uncertain for the longest uncertainty
+//! among the replies: by then the windows of such keys have passed.
 
 use crate::boot_record::{reset_uncertainty, used_keys};
 use crate::links::{self, Reply};
@@ -19,15 +19,16 @@
 use std::time::Duration;
 use wire::Frame;
 
-/// Longest wait for one node's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause between two rounds.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Time limit for one node's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Pause between two rounds of queries.
+const ROUND_PAUSE: Duration = Duration::from_millis(300);
 
-/// Asks until every other node of the groups has answered, or the key window has passed.
+/// Repeats the queries until every other node of the groups has replied, or the key window has
+/// passed.
 pub async fn run(node: Rc<Node>) {
     while node.now() < node.unclean_until.get() {
-        if let Some((keys, uncertain_us)) = round(&node).await {
+        if let Some((keys, uncertain_us)) = query_members(&node).await {
             let now = node.now();
             node.keys.borrow_mut().adopt_keys(now, &keys);
             node.claims.borrow_mut().adopt_keys(now, &keys);
@@ -44,20 +45,20 @@
             );
             return;
         }
-        task::sleep(PAUSE).await;
+        task::sleep(ROUND_PAUSE).await;
     }
 }
 
-/// A new boot of the VM `from` asks.
+/// Replies to a new boot of the VM `from` with the keys that this node knows.
 pub fn on_recover(node: &Rc<Node>, from: &Name, id: AttemptId, reply: &Reply) {
     if node.was_paused() {
         crate::boot_record::on_pause(node);
     }
     let now = node.now();
-    let latest = node.claims.borrow_mut().register_boot(from, id.boot);
+    let is_latest = node.claims.borrow_mut().register_boot(from, id.boot);
     let uncertain_us = node.claims.borrow().uncertain_for_us(now);
-    let sure = latest && uncertain_us <= KEY_RETENTION_US;
-    let keys = sure.then(|| used_keys(node));
+    let is_known = is_latest && uncertain_us <= KEY_RETENTION_US;
+    let keys = is_known.then(|| used_keys(node));
     reply.send(
         node,
         Frame::Recovered {
@@ -68,38 +69,39 @@
     );
 }
 
-/// Takes in an answer.
+/// Delivers another node's reply to the query that waits for it; `None` if it will not reply.
 pub fn on_recovered(node: &Rc<Node>, id: AttemptId, known: Option<KnownKeys>) {
     if let Some((tx, _)) = node.recoveries.borrow().get(&id) {
         tx.try_send(known).ok();
     }
 }
 
-/// One round of questions: all keys and the longest uncertainty, if every node answered.
-async fn round(node: &Rc<Node>) -> Option<KnownKeys> {
+/// One round of queries: all keys and the longest uncertainty, if every node has replied.
+async fn query_members(node: &Rc<Node>) -> Option<KnownKeys> {
     let members = members(node)?;
-    let answers = join_all(members.iter().map(|vm| ask(node, vm))).await;
-    let mut all = Vec::new();
-    let mut longest = 0;
-    for answer in answers {
-        let (keys, uncertain_us) = answer?;
-        all.extend(keys);
-        longest = longest.max(uncertain_us);
+    let replies = join_all(members.iter().map(|vm| query(node, vm))).await;
+    let mut all_keys = Vec::new();
+    let mut max_uncertain_us = 0;
+    for reply in replies {
+        let (keys, uncertain_us) = reply?;
+        all_keys.extend(keys);
+        max_uncertain_us = max_uncertain_us.max(uncertain_us);
     }
-    Some((all, longest))
+    Some((all_keys, max_uncertain_us))
 }
 
-async fn ask(node: &Rc<Node>, vm: &Name) -> Option<KnownKeys> {
+async fn query(node: &Rc<Node>, vm: &Name) -> Option<KnownKeys> {
     let (tx, rx) = async_channel::bounded(1);
     let id = node.next_query_id();
     node.recoveries.borrow_mut().insert(id, (tx, vm.clone()));
     links::send(node, vm, &Frame::Recover { id });
-    let answer = timeout(ANSWER_TIMEOUT, rx.recv()).await;
+    let reply = timeout(REPLY_TIMEOUT, rx.recv()).await;
     node.recoveries.borrow_mut().remove(&id);
-    answer.ok()?.ok()?
+    reply.ok()?.ok()?
 }
 
-/// The other upstreams of every group that this node's VM is in; none without a configuration.
+/// The other upstreams of all groups that contain this node's VM; none without declarations in
+/// force.
 fn members(node: &Rc<Node>) -> Option<BTreeSet<Name>> {
     let in_force = node.in_force()?;
     let members = in_force
--- a/components/daemon/src/reload.rs
+++ b/components/daemon/src/reload.rs
@@ -1,7 +1,8 @@
 //! Settings that change while the node runs.
 //!
-//! The file is read again after SIGHUP and whenever its text has changed. Addresses, names and
-//! limits of memory hold until the next start; what is kept here holds from the next request on.
+//! The file is polled, and applied when its values have changed and after each SIGHUP. The settings
+//! in [`Live`] apply from the next request on; all other addresses, names and memory limits remain
+//! until the next start.
 
 use crate::local;
 use async_std::task;
@@ -16,8 +17,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two looks at the file.
-const LOOK_EVERY: Duration = Duration::from_millis(1_000);
+/// Time between two reads of the file.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Reads the settings file as it is now.
 pub type Source = Box<dyn Fn() -> Result<Settings, Problems>>;
@@ -27,16 +28,17 @@
 pub struct Live {
     /// Service that runs on the VM.
     pub service: Option<Name>,
-    /// Where its upstream serves: one that takes the place of another on the VM may serve elsewhere.
+    /// Address of its upstream. An upstream that replaces another one on the VM may have another
+    /// address.
     pub upstream: Option<SocketAddr>,
-    /// Fleet-wide bound on retries.
+    /// Fleet-wide limit on retries.
     pub retries: RetryLimit,
-    /// Longest time of a planned stop, in milliseconds.
+    /// Time limit of a planned stop, in milliseconds.
     pub stop_wait_ms: u64,
 }
 
 impl Live {
-    /// The part of `cfg` that may change.
+    /// The settings in `cfg` that may change.
     pub fn from_settings(cfg: &Settings) -> Live {
         Live {
             service: cfg.service.clone(),
@@ -47,35 +49,35 @@
     }
 }
 
-/// Follows the file for as long as the node runs: keeps `live` as the file says, and calls `changed` after each reading
-/// that may have changed it.
+/// Polls the file for as long as the node runs: updates `live` from it, and calls `changed` when
+/// the values have changed and after each SIGHUP.
 pub async fn run(live: Rc<RefCell<Live>>, source: Source, changed: impl Fn()) {
-    let asked = Rc::new(RefCell::new(false));
-    local::spawn(watch_signal(asked.clone()));
-    let mut last_bad = String::new();
+    let requested = Rc::new(RefCell::new(false));
+    local::spawn(watch_signal(requested.clone()));
+    let mut last_problems = String::new();
     loop {
-        task::sleep(LOOK_EVERY).await;
-        let by_signal = asked.replace(false);
+        task::sleep(POLL_INTERVAL).await;
+        let by_signal = requested.replace(false);
         match source() {
             Ok(cfg) => {
-                last_bad.clear();
-                if take_in(&live, &cfg, by_signal) {
+                last_problems.clear();
+                if apply(&live, &cfg, by_signal) {
                     changed();
                 }
             }
             Err(problems) => {
                 let problems = problems.to_string();
-                if by_signal || problems != last_bad {
-                    tracing::warn!(%problems, "settings not taken; the ones before stay in force");
+                if by_signal || problems != last_problems {
+                    tracing::warn!(%problems, "invalid settings file; the previous settings stay in force");
                 }
-                last_bad = problems;
+                last_problems = problems;
             }
         }
     }
 }
 
-/// Whether what follows from the settings has to be worked out anew.
-fn take_in(live: &RefCell<Live>, cfg: &Settings, by_signal: bool) -> bool {
+/// Returns whether state that is derived from the settings has to be updated.
+fn apply(live: &RefCell<Live>, cfg: &Settings, by_signal: bool) -> bool {
     let next = Live::from_settings(cfg);
     let before = live.replace(next.clone());
     if before == next && !by_signal {
@@ -90,15 +92,15 @@
     true
 }
 
-async fn watch_signal(asked: Rc<RefCell<bool>>) {
+async fn watch_signal(requested: Rc<RefCell<bool>>) {
     let mut signals = match Signals::new([SIGHUP]) {
         Ok(signals) => signals,
         Err(error) => {
-            tracing::error!(%error, "SIGHUP is not caught; the file is still probed at");
+            tracing::error!(%error, "no SIGHUP handler; the settings file is still polled");
             return;
         }
     };
     while signals.next().await.is_some() {
-        *asked.borrow_mut() = true;
+        *requested.borrow_mut() = true;
     }
 }
--- a/components/daemon/src/store.rs
+++ b/components/daemon/src/store.rs
@@ -1,7 +1,7 @@
-//! Calls to the platform's store, and its eras: who sees a new one tells the others, and what belongs to the one before
-//! counts no more.
+//! Calls to the platform's store, and its eras: a node that observes a new era notifies the others,
+//! and state that belongs to the previous era becomes invalid.
 //!
-//! `era` decides; here it is told and written down.
+//! `era` decides; this module sends the notifications and writes the log and metrics.
 
 use crate::links;
 use crate::node::Node;
@@ -15,59 +15,59 @@
 use std::rc::Rc;
 use wire::Frame;
 
-/// Makes a call, counts it and writes a line.
+/// Makes a call, counts it and logs it.
 pub async fn platform_call<T>(
     node: &Rc<Node>,
     purpose: Purpose,
     call: impl Future<Output = Result<T>>,
 ) -> Result<T> {
-    let began = node.now();
-    let ended = call.await;
-    let took_us = node.now().since(began);
-    stats::platform_called(purpose, ended.is_ok());
-    answered(node);
-    audit::platform_called(purpose, took_us, ended.as_ref().err());
-    ended
+    let started_at = node.now();
+    let result = call.await;
+    let took_us = node.now().since(started_at);
+    stats::platform_called(purpose, result.is_ok());
+    observe_store_era(node);
+    audit::platform_called(purpose, took_us, result.as_ref().err());
+    result
 }
 
-/// Highest era of the store that is known; none where it tells none.
+/// Highest known era of the store; none if the store reports none.
 pub fn known_era(node: &Node) -> Option<Era> {
     let registration = node.registration.as_ref()?;
     let eras = registration.eras.borrow();
     eras.known()
 }
 
-/// Up to where the declarations were read in the present era.
+/// Position up to which the declarations were read in the current era.
 pub fn read_position(node: &Node) -> Option<Position> {
     let registration = node.registration.as_ref()?;
     let eras = registration.eras.borrow();
     eras.position()
 }
 
-/// Takes in the era that the store's answers tell, after a call to it.
-fn answered(node: &Rc<Node>) {
+/// Observes the era that the store has reported in its answers.
+fn observe_store_era(node: &Rc<Node>) {
     let Some(registration) = node.registration.clone() else {
         return;
     };
     if let Some(era) = registration.adapter.store().era() {
-        saw(node, &registration, era, None);
+        observe(node, &registration, era, None);
     }
 }
 
-/// Takes in the era that another node knows.
+/// Observes the era in another node's summary.
 pub fn on_summary(node: &Rc<Node>, from: &Name, theirs: &Summary) {
     let Some(registration) = node.registration.clone() else {
         return;
     };
     if let Some(era) = theirs.era {
-        saw(node, &registration, era, Some(from));
+        observe(node, &registration, era, Some(from));
     }
 }
 
-fn saw(node: &Rc<Node>, registration: &Registration, era: Era, from: Option<&Name>) {
-    let place = registration.eras.borrow().position();
-    let seen = registration.eras.borrow_mut().observe(node.now(), era);
-    match seen {
+fn observe(node: &Rc<Node>, registration: &Registration, era: Era, from: Option<&Name>) {
+    let position = registration.eras.borrow().position();
+    let order = registration.eras.borrow_mut().observe(node.now(), era);
+    match order {
         EraOrder::Same | EraOrder::Earlier => {}
         EraOrder::First => {
             registration.adapter.store().observe_era(era);
@@ -80,18 +80,20 @@
             stats::store_restored();
             let offer_at = registration.eras.borrow().offer_at();
             let wait_us = offer_at.map_or(0, |at| at.since(node.now()));
-            audit::store_restored(before, era, from, place, wait_us);
-            // What was confirmed before says nothing of what the store holds now.
+            audit::store_restored(before, era, from, position, wait_us);
+            // A confirmation from before the restore says nothing about the present content of the
+            // store.
             node.watch.borrow_mut().clear_confirmation();
-            tell(node, registration, from);
+            notify_nodes(node, registration, from);
             registration::schedule_offer(registration);
         }
     }
 }
 
-/// Tells the others: who saw it itself tells this hall and one node of each other hall, which tells its own. A node of
-/// this hall that told it has told the whole hall.
-fn tell(node: &Rc<Node>, registration: &Registration, from: Option<&Name>) {
+/// Notifies other nodes of a new era. A node that learned it from the store notifies its own hall
+/// and one node of each other hall, which notifies that hall. If a node of the own hall reported
+/// it, that node has notified the entire hall.
+fn notify_nodes(node: &Rc<Node>, registration: &Registration, from: Option<&Name>) {
     let frame = Frame::Summary(node.summary());
     match from {
         None => {
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -1,8 +1,9 @@
-//! Data halls that operators evacuate: read in the store, told by other nodes, and carried out.
+//! Data halls that operators evacuate: read from the store, reported by other nodes, and applied.
 //!
-//! `evacuation` decides what holds. What is known travels with each summary, as declarations are told of.
+//! `evacuation` decides which evacuations apply. Nodes report them to one another in their
+//! summaries, as they do declarations.
 
-use super::{Manner, EVACUATIONS_WATCH};
+use super::{QueryMode, EVACUATIONS_WATCH_WAIT};
 use crate::home_driver;
 use crate::links;
 use crate::node::Node;
@@ -18,15 +19,16 @@
 use std::time::Duration;
 use wire::Frame;
 
-/// Asks the store which halls are evacuated. A node that starts leaves that to the others, which tell it as they meet.
-pub async fn look(node: &Rc<Node>, manner: Manner) -> Result<()> {
+/// Queries the store for the evacuated halls. A node that starts learns them from other nodes when
+/// they connect.
+pub async fn query(node: &Rc<Node>, mode: QueryMode) -> Result<()> {
     let Some(registration) = node.registration.clone() else {
         return Ok(());
     };
-    let wait = match manner {
-        Manner::Start => return Ok(()),
-        Manner::Now => Duration::ZERO,
-        Manner::Wait => EVACUATIONS_WATCH,
+    let wait = match mode {
+        QueryMode::Startup => return Ok(()),
+        QueryMode::Now => Duration::ZERO,
+        QueryMode::LongPoll => EVACUATIONS_WATCH_WAIT,
     };
     let era = registration.eras.borrow().known();
     let as_of = registration.evacuations.borrow().as_of();
@@ -50,12 +52,12 @@
     };
     let evacuated = changed.into_iter().map(|object| object.name);
     let now = node.now();
-    let is_news = registration
+    let is_changed = registration
         .evacuations
         .borrow_mut()
         .apply_changes(now, at, evacuated, &removed);
-    if is_news {
-        carry_out(node, &registration, None);
+    if is_changed {
+        on_change(node, &registration, None);
     }
     Ok(())
 }
@@ -64,7 +66,7 @@
     let kind = registration.adapter.evacuation_kind();
     let list = registration.adapter.store().list(kind, Consistency::Latest);
     let listing = platform_call(node, Purpose::Evacuations, list).await?;
-    let told = Evacuated {
+    let evacuated = Evacuated {
         as_of: listing.at,
         halls: listing
             .objects
@@ -72,33 +74,38 @@
             .map(|object| object.name)
             .collect(),
     };
-    take(node, registration, told, None);
+    apply(node, registration, evacuated, None);
     Ok(())
 }
 
-/// Takes in what another node knows. Returns whether this node knows something newer.
+/// Applies the evacuations that another node reports. Returns whether this node knows newer ones.
 pub fn on_report(node: &Rc<Node>, from: &Name, theirs: Option<&Evacuated>) -> bool {
     let Some(registration) = node.registration.clone() else {
         return false;
     };
     if let Some(theirs) = theirs {
-        take(node, &registration, theirs.clone(), Some(from));
+        apply(node, &registration, theirs.clone(), Some(from));
     }
     let evacuations = registration.evacuations.borrow();
     evacuations.is_newer_than(theirs)
 }
 
-fn take(node: &Rc<Node>, registration: &Rc<Registration>, told: Evacuated, from: Option<&Name>) {
+fn apply(
+    node: &Rc<Node>,
+    registration: &Rc<Registration>,
+    evacuated: Evacuated,
+    from: Option<&Name>,
+) {
     let now = node.now();
-    let is_news = registration.evacuations.borrow_mut().apply(now, told);
-    if is_news {
-        carry_out(node, registration, from);
+    let is_changed = registration.evacuations.borrow_mut().apply(now, evacuated);
+    if is_changed {
+        on_change(node, registration, from);
     }
 }
 
-/// Other halls are evacuated than before: the upstream beside this node follows, and others are told. Who learned it
-/// from its own hall need not tell that again.
-fn carry_out(node: &Rc<Node>, registration: &Registration, from: Option<&Name>) {
+/// The evacuated halls have changed: updates the drain state of the local upstream and notifies
+/// other nodes. A change that was reported by a node of the own hall is not forwarded.
+fn on_change(node: &Rc<Node>, registration: &Registration, from: Option<&Name>) {
     let now = node.now();
     {
         let evacuations = registration.evacuations.borrow();
--- a/components/daemon/src/watching/freshness.rs
+++ b/components/daemon/src/watching/freshness.rs
@@ -1,5 +1,5 @@
-//! How old what is in force may be, as far as this node knows: notes it, passes it on, and says when it becomes
-//! stale.
+//! Age of the revision in force, as far as this node knows: records confirmations, forwards them,
+//! and logs when the revision becomes stale.
 
 use crate::links;
 use crate::node::Node;
@@ -10,49 +10,50 @@
 use std::rc::Rc;
 use wire::Frame;
 
-/// The platform held nothing newer at `as_of`, as it said itself. Returns whether that holds for what is in force
-/// here: not while something newer is still being checked.
+/// Records that the platform had nothing newer at `as_of`. Returns whether that confirms the
+/// revision in force: not while a newer one is still being checked.
 pub fn confirmed(node: &Node, as_of: Moment) -> bool {
     if node.rollout.borrow().newest_revision() > node.rollout.borrow().revision() {
         return false;
     }
     node.watch.borrow_mut().on_confirmed(as_of);
-    note(node);
+    update_staleness(node);
     true
 }
 
-/// Tells other halls that what is in force here was confirmed a moment ago, so that one look serves the fleet.
-pub fn tell_other_halls(node: &Rc<Node>) {
+/// Notifies other halls that the revision in force was confirmed recently, so that one query serves
+/// the fleet.
+pub fn notify_other_halls(node: &Rc<Node>) {
     if let Some(registration) = &node.registration {
         let frame = Frame::Summary(node.summary());
         registration::send_to_other_halls(node, registration, &frame);
     }
 }
 
-/// Another node that holds the same as this one told when that was confirmed. What comes from another hall is
-/// passed on in this one, with its age.
+/// Handles a report, by a node with the same state as this one, of when that state was confirmed. A
+/// report from another hall is forwarded within this one, with its age.
 pub fn on_confirmation(node: &Rc<Node>, from: &Name, theirs: &Summary) {
     let Some(age_us) = theirs.confirmed_us_ago else {
         return;
     };
     let now = node.now();
     if age_us > now.0 || theirs.era != store::known_era(node) {
-        // Before this node ran, or of an era of the store that is over.
+        // Confirmed before this process started, or in another era of the store.
         return;
     }
     let before_us = node.watch.borrow().age_us(now);
     node.watch.borrow_mut().on_confirmed(Moment(now.0 - age_us));
-    note(node);
-    let period_us = node.watch.borrow().notice_interval_us();
-    let is_news = before_us.is_none_or(|before_us| before_us > age_us + period_us);
-    let is_far = node.hall_of(from).is_some_and(|hall| hall != node.cfg.hall);
-    if is_news && is_far {
+    update_staleness(node);
+    let interval_us = node.watch.borrow().notice_interval_us();
+    let is_newer = before_us.is_none_or(|before_us| before_us > age_us + interval_us);
+    let is_cross_hall = node.hall_of(from).is_some_and(|hall| hall != node.cfg.hall);
+    if is_newer && is_cross_hall {
         links::broadcast_to_connected(node, &Frame::Summary(node.summary()));
     }
 }
 
-/// Writes a line when what is in force becomes stale, and when it is confirmed again.
-pub fn note(node: &Node) {
+/// Updates whether the revision in force is stale, and logs each change.
+pub fn update_staleness(node: &Node) {
     let now = node.now();
     let (is_stale, age_us, watchers) = {
         let watch = node.watch.borrow();
--- a/components/daemon/src/watching/listed.rs
+++ b/components/daemon/src/watching/listed.rs
@@ -1,6 +1,6 @@
-//! The head that operators write and the list of VMs, where the platform lists them.
+//! The head that operators write and the list of VMs, on a platform that lists the VMs.
 
-use super::{Manner, WATCH};
+use super::{QueryMode, WATCH_WAIT};
 use crate::configuration;
 use crate::links;
 use crate::local;
@@ -20,43 +20,44 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One watch in so many that ends without news is followed by a plain read.
-const LOOK_BELOW_EVERY: u32 = 3;
-/// Time after which a node without any knowledge asks again.
-const BLANK_POLL: Duration = Duration::from_millis(500);
+/// One in this many watches that end without an update is followed by a plain read.
+const PLAIN_READ_INTERVAL: u32 = 3;
+/// Pause of a node that knows no head before it queries again.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks for the head.
-pub async fn head(node: &Rc<Node>, manner: Manner) -> Result<()> {
+/// Queries the head.
+pub async fn head(node: &Rc<Node>, mode: QueryMode) -> Result<()> {
     let known = node.platform_state.borrow().head_version;
-    let found = match manner {
-        Manner::Wait => {
-            let watch = node.platform.watch(HEAD_KEY, known, WATCH);
+    let found = match mode {
+        QueryMode::LongPoll => {
+            let watch = node.platform.watch(HEAD_KEY, known, WATCH_WAIT);
             platform_call(node, Purpose::Watch, watch).await?
         }
-        Manner::Start | Manner::Now => read_head(node).await?,
+        QueryMode::Startup | QueryMode::Now => read_head(node).await?,
     };
     match found {
-        Some(object) if object.version != known => take_head(node, object).await,
-        None if manner == Manner::Wait => look_below(node, known).await,
+        Some(object) if object.version != known => apply_head(node, object).await,
+        None if mode == QueryMode::LongPoll => check_lower_version(node, known).await,
         _ => Ok(()),
     }
 }
 
-/// Asks for the list of VMs.
-pub async fn vms(node: &Rc<Node>, manner: Manner) -> Result<()> {
+/// Queries the list of VMs.
+pub async fn vms(node: &Rc<Node>, mode: QueryMode) -> Result<()> {
     let after = node.view.borrow().list().version;
-    let (wait, purpose) = match manner {
-        Manner::Wait => (WATCH, Purpose::Watch),
-        Manner::Start | Manner::Now => (Duration::ZERO, Purpose::Fleet),
+    let (wait, purpose) = match mode {
+        QueryMode::LongPoll => (WATCH_WAIT, Purpose::Watch),
+        QueryMode::Startup | QueryMode::Now => (Duration::ZERO, Purpose::Fleet),
     };
     let watch = node.platform.watch_vms(after, wait);
     if let Some(object) = platform_call(node, purpose, watch).await? {
-        take_vms(node, object)?;
+        apply_vms(node, object)?;
     }
     Ok(())
 }
 
-/// Without the platform a node learns from the peers that its settings name.
+/// Queries the peers that the settings name, while this node has no list of VMs and the platform
+/// does not answer.
 pub fn ask_seeds(node: &Rc<Node>) {
     if node.view.borrow().list().version > 0 {
         return;
@@ -70,14 +71,14 @@
     platform_call(node, Purpose::Declarations, read).await
 }
 
-async fn take_head(node: &Rc<Node>, object: Object) -> Result<()> {
+async fn apply_head(node: &Rc<Node>, object: Object) -> Result<()> {
     let head = Head::from_bytes(&object.value)
         .map_err(|error| Error::new(Step::Platform, HEAD_KEY, error))?;
-    let wanted = node
+    let prechecked = node
         .rollout
         .borrow_mut()
         .precheck(&head, Position::default());
-    if wanted.is_ok() {
+    if prechecked.is_ok() {
         let objects = fetch(node, &head).await?;
         configuration::apply_revision(
             node,
@@ -89,16 +90,20 @@
             Origin::Store,
         )
         .await;
-    } else if let Err(offered) = wanted {
+    } else if let Err(offered) = prechecked {
         if offered != rollout::Offered::Same {
-            tracing::warn!(?offered, revision = head.revision, "the platform went back");
+            tracing::warn!(
+                ?offered,
+                revision = head.revision,
+                "the platform returned an older or conflicting head"
+            );
         }
     }
     node.platform_state.borrow_mut().head_version = object.version;
     Ok(())
 }
 
-/// Reads the content of `head`, except for what is in force already.
+/// Reads the content objects of `head` that the revision in force does not contain.
 async fn fetch(node: &Rc<Node>, head: &Head) -> Result<BTreeMap<Digest, ByteBuf>> {
     let in_force = node.in_force();
     let mut objects = BTreeMap::new();
@@ -124,26 +129,26 @@
         .ok_or_else(|| Error::new(Step::Platform, key, "a content object is missing"))
 }
 
-fn take_vms(node: &Rc<Node>, object: Object) -> Result<()> {
+fn apply_vms(node: &Rc<Node>, object: Object) -> Result<()> {
     let list: VmList = serde_json::from_slice(&object.value)
         .map_err(|error| Error::new(Step::Platform, "the list of VMs", error))?;
     configuration::apply_vm_list(node, list);
     Ok(())
 }
 
-/// A watch sees only versions above the one that is known. A platform that was restored from an
-/// old copy counts on from a lower one, so now and then the head is read whatever its version.
-async fn look_below(node: &Rc<Node>, known: u64) -> Result<()> {
+/// A watch reports only versions above the known one. A platform that was restored from an old copy
+/// continues from a lower version, so the head is occasionally read whatever its version.
+async fn check_lower_version(node: &Rc<Node>, known: u64) -> Result<()> {
     if known == 0 {
-        // A head that does not exist yet answers at once; don't ask in a tight loop.
-        task::sleep(BLANK_POLL).await;
+        // A watch for a head that does not exist yet returns at once; this prevents a tight loop.
+        task::sleep(STARTUP_POLL_INTERVAL).await;
         return Ok(());
     }
-    if rand::rng().random_range(0..LOOK_BELOW_EVERY) != 0 {
+    if rand::rng().random_range(0..PLAIN_READ_INTERVAL) != 0 {
         return Ok(());
     }
     match read_head(node).await? {
-        Some(object) if object.version != known => take_head(node, object).await,
+        Some(object) if object.version != known => apply_head(node, object).await,
         _ => Ok(()),
     }
 }
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -1,7 +1,8 @@
-//! What a node asks the platform, and when it leaves that to others.
+//! Queries to the platform: which ones this node makes, and when it relies on other nodes instead.
 //!
-//! `watch` decides; here the calls are made and the nodes of the hall are told. What is asked depends on
-//! the platform: the head and the list of VMs ([`listed`]), or the operators' declarations ([`registered`]).
+//! `watch` decides; this module makes the calls and notifies the nodes of the hall. The topics
+//! depend on the platform: the head and the list of VMs ([`listed`]), or the operators'
+//! declarations ([`registered`]).
 
 mod evacuations;
 mod freshness;
@@ -30,30 +31,31 @@
 use watch::{Advice, AllowedWork, WatchNotice};
 use wire::Frame;
 
-/// How long one watch waits. One whose connection has fallen silent is found by a look of its own
-/// ([`overtaken`]), long before it should have ended.
-const WATCH: Duration = Duration::from_secs(10);
-/// The same for what operators change a few times a year: each watch is a call.
-const EVACUATIONS_WATCH: Duration = Duration::from_secs(25);
-/// Time between two looks whether two answers arrive at once: 12 KB on a link of 10 Mbit/s.
-const DOUBLED_LOOK: Duration = Duration::from_millis(10);
-/// Shortest pause after a failed call; it doubles with each further one.
+/// Duration of one watch call. A watch whose connection has become unresponsive is found by a
+/// separate query ([`detect_stalled_watch`]), long before this time has passed.
+const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// The same for evacuations, which operators change a few times a year: each watch is a call.
+const EVACUATIONS_WATCH_WAIT: Duration = Duration::from_secs(25);
+/// Interval of the check for two answers that arrive at the same time. A link of 10 Mbit/s
+/// transfers 12 KB in it.
+const OVERLAP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// First pause after a failed call; it doubles with each further failure.
 pub const MIN_PAUSE_MS: u64 = 100;
 /// Longest pause after a failed call.
-const MOST_PAUSE_MS: u64 = 3_000;
+const MAX_PAUSE_MS: u64 = 3_000;
 
-/// What the platform last said of itself.
+/// State of the platform as this node sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PlatformState {
-    /// Whether the last call got an answer.
+    /// Whether the last call was answered.
     pub reachable: bool,
     /// Version of the head object last read.
     pub head_version: u64,
-    /// Whether what is in force was not confirmed for too long.
+    /// Whether the revision in force has been unconfirmed for too long.
     pub is_stale: bool,
 }
 
-/// What the platform is asked for.
+/// Subject of a query to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Topic {
     Head,
@@ -62,60 +64,59 @@
     Evacuations,
 }
 
-/// How it is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Manner {
-    /// For whatever is known there, at little cost; the answer may lag.
-    Start,
-    /// For what is newer, at once.
+enum QueryMode {
+    /// Reads the current state at low cost; the answer may lag.
+    Startup,
+    /// Reads newer state and returns at once.
     Now,
-    /// For what is newer, once there is something.
-    Wait,
+    /// Waits until there is newer state.
+    LongPoll,
 }
 
-/// The VMs come first: a node with declarations says that it is ready, and without the list it would refuse
-/// what comes then.
+/// The VMs come first: a node with declarations reports that it is ready, and without the list it
+/// would refuse the requests that arrive then.
 fn topics(node: &Node) -> &'static [Topic] {
     match node.registration {
-        // Each topic costs calls, so that nobody asks where no hall is ever evacuated.
+        // Each topic costs calls, so evacuations are not queried where no hall is ever evacuated.
         Some(_) if node.cfg.evacuated_within_ms == 0 => &[Topic::Declarations],
         Some(_) => &[Topic::Declarations, Topic::Evacuations],
         None => &[Topic::Vms, Topic::Head],
     }
 }
 
-async fn look(node: &Rc<Node>, topic: Topic, manner: Manner) -> Result<()> {
+async fn query(node: &Rc<Node>, topic: Topic, mode: QueryMode) -> Result<()> {
     match topic {
-        Topic::Head => listed::head(node, manner).await,
-        Topic::Vms => listed::vms(node, manner).await,
-        Topic::Declarations => registered::declarations(node, manner).await,
-        Topic::Evacuations => evacuations::look(node, manner).await,
+        Topic::Head => listed::head(node, mode).await,
+        Topic::Vms => listed::vms(node, mode).await,
+        Topic::Declarations => registered::declarations(node, mode).await,
+        Topic::Evacuations => evacuations::query(node, mode).await,
     }
 }
 
-/// Learns what the platform knows, then follows the duty to watch for as long as the node runs.
+/// Queries the platform at startup, then carries out the watch duty for as long as the node runs.
 pub async fn run(node: Rc<Node>) {
-    local::spawn(speak(node.clone()));
-    learn(&node).await;
+    local::spawn(run_notices(node.clone()));
+    query_at_startup(&node).await;
     loop {
         let now = node.now();
         let (known, open) = links::hall_connections(&node);
         node.watch.borrow_mut().on_connections(now, known, open);
         let advice = node.watch.borrow_mut().advice(now);
         match advice {
-            Advice::Query if is_coming(&node) => pause(&node).await,
+            Advice::Query if is_update_pending(&node) => sleep_notice_interval(&node).await,
             Advice::Query => watch(&node).await,
             Advice::WaitUntil(until) => {
-                let period_us = node.watch.borrow().notice_interval_us();
-                let rest_us = until.since(now).clamp(1, period_us / 2);
-                task::sleep(Duration::from_micros(rest_us)).await;
+                let interval_us = node.watch.borrow().notice_interval_us();
+                let wait_us = until.since(now).clamp(1, interval_us / 2);
+                task::sleep(Duration::from_micros(wait_us)).await;
             }
         }
     }
 }
 
-/// What this node may do now beside the first read of its declarations. A node to which the platform lists the VMs reads
-/// small objects one by one, and all its work is allowed at once.
+/// Work that is allowed while the declarations are read for the first time. Where the platform
+/// lists the VMs, a node reads small objects one by one, so all work is allowed from the start.
 pub fn allowed_work(node: &Node) -> AllowedWork {
     if node.in_force().is_some() || node.registration.is_none() {
         return AllowedWork::Everything;
@@ -124,14 +125,14 @@
     node.first_read.borrow().allowed(node.now(), is_reading)
 }
 
-/// Whether this node has no declarations and its first read of them has not ended, however long it takes: a store that has
-/// stalled would not answer a second read either.
+/// Whether this node has no declarations and its first read of them has not ended. There is no time
+/// limit: a store that has stalled would not answer a second read either.
 pub fn awaits_first_read(node: &Node) -> bool {
     let has_ended = node.first_read.borrow().has_ended();
     node.registration.is_some() && node.in_force().is_none() && !has_ended
 }
 
-/// Whether the store's answer with the declarations arrives or is checked just now.
+/// Whether the store's answer with the declarations is currently arriving or being checked.
 pub fn is_reading_declarations(node: &Node) -> bool {
     let Some(registration) = &node.registration else {
         return false;
@@ -143,207 +144,210 @@
         || rollout.newest_revision() > rollout.revision()
 }
 
-/// Whether something newer is on its way from the platform or being checked. To ask beside it would bring the same
-/// once more: a set of 0.5 MB went over a slow link twice.
-fn is_coming(node: &Node) -> bool {
+/// Whether newer state is arriving from the platform or being checked. A query at that time would
+/// transfer the same data again: a set of 0.5 MB went over a slow link twice.
+fn is_update_pending(node: &Node) -> bool {
     let registration = node.registration.as_ref();
-    let is_taken_in =
+    let is_applying =
         registration.is_some_and(|registration| registration.updates_in_progress.get() > 0);
     let rollout = node.rollout.borrow();
-    is_taken_in || receiving(node) > 0 || rollout.newest_revision() > rollout.revision()
+    is_applying || incoming_answers(node) > 0 || rollout.newest_revision() > rollout.revision()
 }
 
-/// Answers of the platform of which a part has come.
-fn receiving(node: &Node) -> u32 {
+/// Number of the platform's answers that have arrived in part.
+fn incoming_answers(node: &Node) -> u32 {
     let registration = node.registration.as_ref();
     registration.map_or(0, |registration| {
         registration.adapter.store().partial_answers()
     })
 }
 
-/// Ends once two answers arrive at the same time.
-async fn doubled(node: &Node) {
-    while receiving(node) < 2 {
-        task::sleep(DOUBLED_LOOK).await;
+/// Returns once two answers arrive at the same time.
+async fn until_answers_overlap(node: &Node) {
+    while incoming_answers(node) < 2 {
+        task::sleep(OVERLAP_CHECK_INTERVAL).await;
     }
 }
 
-/// The time between two words of a watcher.
-async fn pause(node: &Node) {
-    let period_us = node.watch.borrow().notice_interval_us();
-    task::sleep(Duration::from_micros(period_us)).await;
+async fn sleep_notice_interval(node: &Node) {
+    let interval_us = node.watch.borrow().notice_interval_us();
+    task::sleep(Duration::from_micros(interval_us)).await;
 }
 
-/// Asks once for each topic, until the platform has answered or other nodes have told.
-async fn learn(node: &Rc<Node>) {
+/// Queries each topic until the platform answers or other nodes have provided the state.
+async fn query_at_startup(node: &Rc<Node>) {
     let mut pause = MIN_PAUSE_MS;
     for topic in topics(node) {
-        while let Err(error) = look(node, *topic, Manner::Start).await {
-            first_read_ended(node);
+        while let Err(error) = query(node, *topic, QueryMode::Startup).await {
+            finish_first_read(node);
             set_reachable(node, false);
             tracing::info!(?topic, %error, "the platform gave no answer");
             listed::ask_seeds(node);
             pause = back_off(pause).await;
-            if is_told(node, *topic) {
+            if is_known(node, *topic) {
                 break;
             }
         }
         if *topic == Topic::Declarations {
-            // The answer of another topic must not keep other work back.
-            first_read_ended(node);
+            // The query of another topic must not delay other work.
+            finish_first_read(node);
         }
     }
-    first_read_ended(node);
+    finish_first_read(node);
 }
 
-/// Notes that the store has answered the first read or failed, and wakes the callers that wait for declarations.
-fn first_read_ended(node: &Node) {
+/// Records that the first read has been answered or has failed, and wakes the callers that wait for
+/// declarations.
+fn finish_first_read(node: &Node) {
     node.first_read.borrow_mut().finish();
     node.first_declarations.wake();
 }
 
-fn is_told(node: &Node, topic: Topic) -> bool {
+fn is_known(node: &Node, topic: Topic) -> bool {
     match topic {
         Topic::Head | Topic::Declarations | Topic::Evacuations => node.in_force().is_some(),
         Topic::Vms => node.view.borrow().list().version > 0,
     }
 }
 
-/// Watches the platform for the hall, until it gives no answer or the hall has enough other watchers.
+/// Watches the platform for the hall until a call fails or the hall has enough other watchers.
 async fn watch(node: &Rc<Node>) {
     node.watch.borrow_mut().on_query();
-    tell(node, WatchNotice::Querying);
-    let ended = follow(node).await;
+    announce(node, WatchNotice::Querying);
+    let result = watch_for_hall(node).await;
     let now = node.now();
-    match ended {
-        Ok(()) => tracing::info!("others of this hall watch the platform"),
+    match result {
+        Ok(()) => tracing::info!("enough other nodes of this hall watch the platform"),
         Err(error) => {
             node.watch.borrow_mut().on_failure(now);
             set_reachable(node, false);
             tracing::info!(%error, "the platform gave no answer");
             listed::ask_seeds(node);
-            tell(node, WatchNotice::Failed);
+            announce(node, WatchNotice::Failed);
         }
     }
 }
 
-async fn follow(node: &Rc<Node>) -> Result<()> {
-    look_at_all(node).await?;
+async fn watch_for_hall(node: &Rc<Node>) -> Result<()> {
+    query_all(node).await?;
     node.watch.borrow_mut().on_answer();
     set_reachable(node, true);
     tracing::info!("this node watches the platform for its hall");
     loop {
-        tell(node, WatchNotice::Watching);
-        let all = topics(node)
+        announce(node, WatchNotice::Watching);
+        let watches = topics(node)
             .iter()
-            .map(|topic| Box::pin(keep(node, *topic)));
-        match select(select_all(all), pin!(overtaken(node))).await {
-            Either::Left(((ended, _, _), _)) => return ended,
-            Either::Right((probed, _)) => probed?,
+            .map(|topic| Box::pin(watch_topic(node, *topic)));
+        match select(select_all(watches), pin!(detect_stalled_watch(node))).await {
+            Either::Left(((result, _, _), _)) => return result,
+            Either::Right((detected, _)) => detected?,
         }
     }
 }
 
-/// Asks for what is newer, at once. Returns whether what is in force is confirmed by that.
-async fn look_at_all(node: &Rc<Node>) -> Result<bool> {
-    let asked = node.now();
+/// Reads newer state of all topics at once. Returns whether that confirms the revision in force.
+async fn query_all(node: &Rc<Node>) -> Result<bool> {
+    let queried_at = node.now();
     for topic in topics(node) {
-        look(node, *topic, Manner::Now).await?;
+        query(node, *topic, QueryMode::Now).await?;
     }
-    Ok(freshness::confirmed(node, asked))
+    Ok(freshness::confirmed(node, queried_at))
 }
 
-/// The same, given up if another answer begins to arrive beside it: both would bring the same.
-async fn look_unless_doubled(node: &Rc<Node>) -> Result<Option<bool>> {
-    let looking = pin!(look_at_all(node));
-    let doubled = pin!(doubled(node));
-    match select(looking, doubled).await {
+/// The same, but cancelled with `None` when a second answer begins to arrive at the same time: both
+/// would carry the same data.
+async fn query_unless_overlapping(node: &Rc<Node>) -> Result<Option<bool>> {
+    let queries = pin!(query_all(node));
+    let overlap = pin!(until_answers_overlap(node));
+    match select(queries, overlap).await {
         Either::Left((confirmed, _)) => confirmed.map(Some),
         Either::Right(_) => Ok(None),
     }
 }
 
-/// Asks anew whenever what this node holds was not confirmed for a while, until that brings something that
-/// the open watches should have told: they say nothing any more. Without it a change was in force nowhere for
-/// ten seconds after the connections of all watches had fallen silent.
-async fn overtaken(node: &Rc<Node>) -> Result<()> {
+/// Queries the platform whenever the state of this node has been unconfirmed for a while. Returns
+/// when that finds a change that the open watches should have reported, since their connections are
+/// unresponsive then, and when the store's era changes. Without this check a change was in force
+/// nowhere for ten seconds after the connections of all watches had become unresponsive.
+async fn detect_stalled_watch(node: &Rc<Node>) -> Result<()> {
     let era = store::known_era(node);
     loop {
         if store::known_era(node) != era {
-            // The revisions from which the open watches go on stand for something else now.
-            if look_at_all(node).await? {
-                freshness::tell_other_halls(node);
+            // The revisions at which the open watches began have another meaning in the new era.
+            if query_all(node).await? {
+                freshness::notify_other_halls(node);
             }
             return Ok(());
         }
         let now = node.now();
         let due = node.watch.borrow().next_confirmation(now);
         if due > now {
-            let period_us = node.watch.borrow().notice_interval_us();
-            task::sleep(Duration::from_micros(due.since(now).min(period_us))).await;
+            let interval_us = node.watch.borrow().notice_interval_us();
+            task::sleep(Duration::from_micros(due.since(now).min(interval_us))).await;
             continue;
         }
-        if is_coming(node) {
-            pause(node).await;
+        if is_update_pending(node) {
+            sleep_notice_interval(node).await;
             continue;
         }
         let before = node.summary();
-        let Some(confirmed) = look_unless_doubled(node).await? else {
-            // The open watch has begun to answer: it is not silent.
+        let Some(confirmed) = query_unless_overlapping(node).await? else {
+            // The open watch has begun to answer, so it is responsive.
             continue;
         };
         if !node.summary().is_in_sync_with(&before) {
-            tracing::info!("an open watch did not tell of a change and is begun anew");
+            tracing::info!("an open watch missed a change and is restarted");
             return Ok(());
         }
         if confirmed {
-            tell(node, WatchNotice::Watching);
-            freshness::tell_other_halls(node);
+            announce(node, WatchNotice::Watching);
+            freshness::notify_other_halls(node);
         } else {
-            pause(node).await;
+            sleep_notice_interval(node).await;
         }
     }
 }
 
-/// Waits for news, again and again; ends when the duty does.
-async fn keep(node: &Rc<Node>, topic: Topic) -> Result<()> {
+/// Watches one topic until the watch duty ends.
+async fn watch_topic(node: &Rc<Node>, topic: Topic) -> Result<()> {
     while node.watch.borrow_mut().keep_watching(node.now()) {
-        if let Err(error) = look(node, topic, Manner::Wait).await {
-            // A watch that waits may be cut for no reason that lasts. Without a second try, a change made
-            // just then would wait until another node has found out.
-            tracing::info!(?topic, %error, "a watch was cut");
-            look(node, topic, Manner::Now).await?;
+        if let Err(error) = query(node, topic, QueryMode::LongPoll).await {
+            // A waiting call may break for a transient reason. Without this retry, a change made at
+            // that time would be delayed until another node has found it.
+            tracing::info!(?topic, %error, "a watch was interrupted");
+            query(node, topic, QueryMode::Now).await?;
         }
     }
     Ok(())
 }
 
-/// Says again and again that this node watches, while it does.
-async fn speak(node: Rc<Node>) {
+/// Sends keep-alive notices for as long as this node watches.
+async fn run_notices(node: Rc<Node>) {
     loop {
-        let period_us = node.watch.borrow().notice_interval_us();
-        task::sleep(Duration::from_micros(period_us)).await;
-        freshness::note(&node);
-        // A hall that a return of the store has lost stays evacuated for a while only.
+        let interval_us = node.watch.borrow().notice_interval_us();
+        task::sleep(Duration::from_micros(interval_us)).await;
+        freshness::update_staleness(&node);
+        // An evacuation that a restore of the store has lost remains in force for a limited time
+        // only.
         home_driver::update_drain_state(&node);
         if node.watch.borrow().is_watching() && !node.stopping.get() {
-            tell(&node, WatchNotice::Watching);
+            announce(&node, WatchNotice::Watching);
         }
     }
 }
 
-fn tell(node: &Rc<Node>, notice: WatchNotice) {
+fn announce(node: &Rc<Node>, notice: WatchNotice) {
     let summary = node.summary();
     let frame = Frame::Watch { notice, summary };
     if node.registration.is_some() {
-        // Connections to the whole hall are kept open.
+        // Connections to the entire hall are kept open.
         links::broadcast_to_connected(node, &frame);
     } else {
         links::broadcast_to_hall(node, &frame);
     }
 }
 
-/// Takes in what another node says of its calls to the platform, and what it knows.
+/// Handles another node's keep-alive notice and the summary of its state.
 pub fn on_notice(
     node: &Rc<Node>,
     from: &Name,
@@ -356,18 +360,18 @@
     configuration::on_summary(node, from, theirs, reply);
 }
 
-/// Notes whether the platform answered.
+/// Records whether the platform answered.
 pub fn set_reachable(node: &Rc<Node>, reachable: bool) {
     let mut state = node.platform_state.borrow_mut();
     if state.reachable != reachable {
         state.reachable = reachable;
-        tracing::info!(reachable, "the platform's state changed");
+        tracing::info!(reachable, "the platform's reachability changed");
     }
 }
 
-/// Pauses with jitter; returns the next, longer pause.
+/// Sleeps for `pause` milliseconds with jitter; returns the next, longer pause.
 pub async fn back_off(pause: u64) -> u64 {
     let jittered = rand::rng().random_range(pause / 2..=pause);
     task::sleep(Duration::from_millis(jittered)).await;
-    (pause * 2).min(MOST_PAUSE_MS)
+    (pause * 2).min(MAX_PAUSE_MS)
 }
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -1,6 +1,6 @@
-//! The operators' declarations, as the store of a platform has them whose nodes register.
+//! The operators' declarations, in the store of a platform with which nodes register.
 
-use super::{Manner, WATCH};
+use super::{QueryMode, WATCH_WAIT};
 use crate::configuration::{self, STEP_PAUSE};
 use crate::counted::CountGuard;
 use crate::node::Node;
@@ -17,43 +17,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after each change: changes in quick succession come together, and each look is paid for by
-/// every watcher. Below a third of the time within which a change has to be in force (2 s).
-const PAUSE: Duration = Duration::from_millis(600);
+/// Pause after each change, so that changes in quick succession arrive in one answer: each watch
+/// costs a call of every watcher. Below a third of the time within which a change has to be in
+/// force (2 s).
+const CHANGE_PAUSE: Duration = Duration::from_millis(600);
 
-/// Asks for the declarations.
-pub async fn declarations(node: &Rc<Node>, manner: Manner) -> Result<()> {
+/// Queries the declarations.
+pub async fn declarations(node: &Rc<Node>, mode: QueryMode) -> Result<()> {
     let registration = registration(node)?;
-    let place = registration.eras.borrow().position();
-    let after = match (place, manner) {
-        (Some(after), Manner::Now | Manner::Wait) => after,
-        (None, Manner::Now | Manner::Wait) => return list(node, Consistency::Latest).await,
-        (_, Manner::Start) => return list(node, Consistency::MayLag).await,
+    let position = registration.eras.borrow().position();
+    let after = match (position, mode) {
+        (Some(after), QueryMode::Now | QueryMode::LongPoll) => after,
+        (None, QueryMode::Now | QueryMode::LongPoll) => {
+            return list(node, Consistency::Latest).await
+        }
+        (_, QueryMode::Startup) => return list(node, Consistency::MayLag).await,
     };
-    let wait = match manner {
-        Manner::Wait => WATCH,
-        Manner::Start | Manner::Now => Duration::ZERO,
+    let wait = match mode {
+        QueryMode::LongPoll => WATCH_WAIT,
+        QueryMode::Startup | QueryMode::Now => Duration::ZERO,
     };
     let (kind, _) = registration.adapter.declarations();
     let store = registration.adapter.store();
     let watch = store.watch(kind, after.revision, wait);
     let watched = platform_call(node, Purpose::Watch, watch).await?;
     if registration.eras.borrow().known() != after.era {
-        // The revision from which it went on stands for something else in the present era.
+        // The revision at which the watch started_at has another meaning in the current era.
         return list(node, Consistency::Latest).await;
     }
     match watched {
         WatchOutcome::Changes { at, changed, .. } => {
-            take_all(node, &registration, &changed, at.era).await;
+            apply_objects(node, &registration, &changed, at.era).await;
             registration.eras.borrow_mut().read_up_to(at);
-            if !changed.is_empty() && manner == Manner::Wait {
-                task::sleep(PAUSE).await;
+            if !changed.is_empty() && mode == QueryMode::LongPoll {
+                task::sleep(CHANGE_PAUSE).await;
             }
         }
         WatchOutcome::HistoryLost => {
-            tracing::info!(after = after.revision, "the declarations are read anew");
+            tracing::info!(
+                after = after.revision,
+                "the store's history is incomplete; reading all declarations again"
+            );
             registration.eras.borrow_mut().forget_position();
-            if manner == Manner::Now {
+            if mode == QueryMode::Now {
                 list(node, Consistency::Latest).await?;
             }
         }
@@ -61,8 +67,9 @@
     Ok(())
 }
 
-/// Reads the declarations for this node alone, because copies between nodes would take longer. A node that has none
-/// yet takes an answer that may lag, which costs a tenth; what it misses it is told by others.
+/// Reads the declarations from the store for this node alone, because copies between nodes would
+/// take longer. A node that has none yet accepts an answer that may lag, which costs a tenth; other
+/// nodes send it later changes.
 pub async fn read_declarations(node: &Rc<Node>) -> Result<()> {
     if node.rollout.borrow().newest_revision() == 0 {
         list(node, Consistency::MayLag).await?;
@@ -78,15 +85,15 @@
     let (kind, _) = registration.adapter.declarations();
     let list = registration.adapter.store().list(kind, consistency);
     let listing = platform_call(node, Purpose::Declarations, list).await?;
-    // An answer that lags may hold what a return has lost, and belongs to no era.
+    // An answer that lags may contain state that a restore has lost, and belongs to no era.
     let era = listing
         .at
         .era
         .filter(|_| consistency == Consistency::Latest);
-    take_all(node, &registration, &listing.objects, era).await;
+    apply_objects(node, &registration, &listing.objects, era).await;
     if consistency == Consistency::Latest {
-        // Noted only once everything up to there is taken in: a call may be given up in between, and what it brought
-        // would be asked for by nobody.
+        // The position advances only after all objects were applied: a call may be cancelled in
+        // between, and its changes would never be read again.
         registration.eras.borrow_mut().read_up_to(listing.at);
     }
     Ok(())
@@ -94,20 +101,20 @@
 
 fn registration(node: &Rc<Node>) -> Result<Rc<Registration>> {
     let registration = node.registration.clone();
-    registration.ok_or_else(|| Error::new(Step::Platform, "-", "no nodes register here"))
+    registration.ok_or_else(|| Error::new(Step::Platform, "-", "node registration is not in use"))
 }
 
-/// Takes in what was read of the operators' object, in the store's `era`.
-async fn take_all(
+/// Applies the operators' object, if it is among `objects`, which were read in the store's `era`.
+async fn apply_objects(
     node: &Rc<Node>,
     registration: &Registration,
     objects: &[StoredObject],
     era: Option<Era>,
 ) {
-    let _taking_in = CountGuard::new(&registration.updates_in_progress);
+    let _guard = CountGuard::new(&registration.updates_in_progress);
     let (_, name) = registration.adapter.declarations();
     for object in objects.iter().filter(|object| object.name.as_str() == name) {
-        let began = node.now();
+        let started_at = node.now();
         let translate = || registration.adapter.translate(&object.value);
         let translated = catch_panic(Step::Platform, name, translate);
         let written = match translated.and_then(|written| written) {
@@ -117,7 +124,7 @@
                 continue;
             }
         };
-        let translate_us = node.now().since(began);
+        let translate_us = node.now().since(started_at);
         stats::record_declarations_work(Work::Translate, translate_us);
         audit::declarations_read(written.version, object, translate_us);
         let in_force = node.rollout.borrow().revision();
@@ -125,7 +132,7 @@
             audit::store_has_older_version(written.version, in_force, era);
             continue;
         }
-        let read = Position {
+        let read_at = Position {
             era,
             revision: object.revision,
         };
@@ -134,17 +141,17 @@
         }
         let change = change(&written);
         let unchecked =
-            UncheckedRevision::from_bundle(written.version, change, written.bundle, read);
+            UncheckedRevision::from_bundle(written.version, change, written.bundle, read_at);
         let head = &unchecked.configuration().head;
-        let wanted = node.rollout.borrow_mut().precheck(head, read);
-        if wanted.is_ok() {
+        let prechecked = node.rollout.borrow_mut().precheck(head, read_at);
+        if prechecked.is_ok() {
             configuration::apply_revision(node, unchecked, Origin::Store).await;
         }
     }
 }
 
-/// The audit record of what the platform's operators wrote. Every node makes the same of the same, so that nodes can
-/// compare.
+/// The audit record of a change by the platform's operators. It depends on the version only, so
+/// that all nodes derive the same record and can compare revisions.
 fn change(written: &platform::TranslatedDeclarations) -> Change {
     Change {
         id: format!("platform-{}", written.version),
