--- a/components/daemon/src/links/accept.rs
+++ b/components/daemon/src/links/accept.rs
@@ -1,6 +1,6 @@
-//! The peers' door: connections that other nodes open to this one.
+//! Connections that other nodes open to this one.
 
-use super::{age, frames, max_bytes, socket, Outlet, Reply};
+use super::{apply_delay, frames, max_message_bytes, socket, FrameSender, Reply};
 use crate::local;
 use crate::node::Node;
 use async_std::future::timeout;
@@ -16,14 +16,14 @@
 use std::time::Duration;
 use wire::{Handshake, Hello, Proof};
 
-/// Longest time a stranger may take to prove itself.
-const PROOF_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections that have not proved themselves at most; further ones are closed.
-const MAX_STRANGERS: usize = 64;
-/// Pause after the listener failed, for example because descriptors ran out.
+/// Timeout of the WebSocket and authentication handshakes.
+const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of connections that are not authenticated yet; further ones are closed.
+const MAX_UNAUTHENTICATED: usize = 64;
+/// Pause after `accept` failed, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts peers for as long as the node runs.
+/// Accepts connections from peers; runs until the node stops.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     let mut serial = 0;
     loop {
@@ -31,7 +31,7 @@
             task::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        if node.unauthenticated_peers.get() >= MAX_STRANGERS {
+        if node.unauthenticated_peers.get() >= MAX_UNAUTHENTICATED {
             stats::bad_input("peer");
             continue;
         }
@@ -51,21 +51,27 @@
 async fn serve_peer(node: &Rc<Node>, stream: TcpStream, peer: &str, serial: u64) {
     node.unauthenticated_peers
         .set(node.unauthenticated_peers.get() + 1);
-    let admitted = timeout(PROOF_TIMEOUT, admit(node, stream, peer))
+    let authenticated = timeout(AUTHENTICATION_TIMEOUT, authenticate(node, stream, peer))
         .await
-        .unwrap_or_else(|_| Err(Error::new(Step::Handshake, peer, "no proof in time")));
+        .unwrap_or_else(|_| {
+            Err(Error::new(
+                Step::Handshake,
+                peer,
+                "authentication timed out",
+            ))
+        });
     node.unauthenticated_peers
         .set(node.unauthenticated_peers.get() - 1);
-    let (socket, vm) = match admitted {
-        Ok(admitted) => admitted,
+    let (socket, vm) = match authenticated {
+        Ok(authenticated) => authenticated,
         Err(error) => {
             stats::bad_input("peer");
-            tracing::debug!(%error, "a stranger was turned away");
+            tracing::debug!(%error, "a connection failed to authenticate");
             return;
         }
     };
     let (tx, mut stream) = socket::split(socket);
-    let reply = Reply::Peer(Outlet::new(node, &vm, tx.clone()));
+    let reply = Reply::Peer(FrameSender::new(node, &vm, tx.clone()));
     node.incoming.borrow_mut().insert(serial, reply.clone());
     let error = read(node, &vm, &mut stream, &reply).await;
     tx.close();
@@ -73,8 +79,12 @@
     tracing::debug!(peer = %vm, %error, "a peer's connection ended");
 }
 
-async fn admit(node: &Rc<Node>, stream: TcpStream, peer: &str) -> Result<(socket::Socket, Name)> {
-    let mut socket = socket::accept(stream, peer, max_bytes(node)).await?;
+async fn authenticate(
+    node: &Rc<Node>,
+    stream: TcpStream,
+    peer: &str,
+) -> Result<(socket::Socket, Name)> {
+    let mut socket = socket::accept(stream, peer, max_message_bytes(node)).await?;
     let bytes = socket::receive(&mut socket, peer).await?;
     let hello: Hello = wire::decode_message(peer, &bytes)?;
     let handshake = Handshake::new(
@@ -110,8 +120,8 @@
                 return error;
             }
         };
-        let late_us = delay.observe(envelope.sent_us, node.now());
-        age(&mut envelope.frame, late_us);
-        frames::take_in(node, vm, envelope.frame, reply);
+        let delay_us = delay.observe(envelope.sent_us, node.now());
+        apply_delay(&mut envelope.frame, delay_us);
+        frames::on_frame(node, vm, envelope.frame, reply);
     }
 }
--- a/components/daemon/src/links/dial.rs
+++ b/components/daemon/src/links/dial.rs
@@ -1,8 +1,9 @@
 //! Opening a connection to another node and reading from it.
 
-use super::REDIAL_US;
+use super::REDIAL_PAUSE_US;
 use super::{
-    age, frames, lost, max_bytes, not_sent, socket, transmit_up, Link, Outlet, Reply, UpLink,
+    apply_delay, frames, max_message_bytes, on_connection_lost, on_not_sent, socket, transmit_open,
+    FrameSender, Link, OpenLink, Reply,
 };
 use crate::node::Node;
 use async_channel::Receiver;
@@ -22,60 +23,66 @@
 use std::time::Duration;
 use wire::{Frame, Handshake, Welcome};
 
-/// Longest time for connecting and proving.
+/// Timeout for connecting and authenticating.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time spent with one seed.
+/// Maximum time spent on one seed.
 const SEED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection that was opened and proved.
+/// An open and authenticated connection.
 struct Opened {
-    up: UpLink,
+    link: OpenLink,
     stream: SplitStream<socket::Socket>,
-    cut: Receiver<()>,
+    abort: Receiver<()>,
 }
 
-/// Does the same as [`run`]; a frame that makes this node panic ends the connection alone.
-pub async fn run_contained(node: Rc<Node>, vm: Name) {
+/// Calls [`run`] and catches panics: a frame that causes one only closes its connection.
+pub async fn run_catching_panics(node: Rc<Node>, vm: Name) {
     let running = AssertUnwindSafe(run(node.clone(), vm.clone()));
     if running.catch_unwind().await.is_err() {
         stats::panicked();
         tracing::error!(peer = %vm, "a panic was contained");
         node.links.borrow_mut().remove(&vm);
-        lost(&node, &vm);
+        on_connection_lost(&node, &vm);
     }
 }
 
-/// Opens a connection to `vm`, sends what waits for it and reads until it breaks.
+/// Opens a connection to `vm`, sends the frames that wait for it and reads until it breaks.
 async fn run(node: Rc<Node>, vm: Name) {
     let opened = timeout(DIAL_TIMEOUT, open(&node, &vm))
         .await
-        .unwrap_or_else(|_| Err(Error::new(Step::Handshake, &vm, "no answer in time")));
+        .unwrap_or_else(|_| {
+            Err(Error::new(
+                Step::Handshake,
+                &vm,
+                "connect and handshake timed out",
+            ))
+        });
     match opened {
         Ok(Opened {
-            up,
+            link,
             mut stream,
-            cut,
+            abort,
         }) => {
-            tracing::info!(peer = %vm, boot = %up.boot, "connected to a peer");
+            tracing::info!(peer = %vm, boot = %link.boot, "connected to a peer");
             stats::link_changed("up");
-            let out = up.out.clone();
-            install(&node, &vm, up);
-            greet(&node, &vm);
+            let sender = link.sender.clone();
+            install(&node, &vm, link);
+            send_initial_state(&node, &vm);
             let reading = pin!(read(&node, &vm, &mut stream));
-            let error = match select(reading, pin!(cut.recv())).await {
+            let error = match select(reading, pin!(abort.recv())).await {
                 Either::Left((error, _)) => error,
                 Either::Right(_) => Error::new(Step::Frame, &vm, "the peer does not answer"),
             };
-            out.close();
+            sender.close();
             stats::link_changed("down");
             tracing::info!(peer = %vm, %error, "lost the connection to a peer");
             node.links.borrow_mut().remove(&vm);
-            lost(&node, &vm);
+            on_connection_lost(&node, &vm);
         }
         Err(error) => {
             stats::link_changed("failed");
             tracing::debug!(%error, "no connection to a peer");
-            fail(&node, &vm);
+            on_dial_failed(&node, &vm);
         }
     }
 }
@@ -87,10 +94,10 @@
     let stream = TcpStream::connect(&address)
         .await
         .map_err(|error| Error::new(Step::Connect, &address, error))?;
-    let mut socket = socket::open(stream, &address, max_bytes(node)).await?;
-    let welcome = prove(node, &mut socket, &address).await?;
+    let mut socket = socket::open(stream, &address, max_message_bytes(node)).await?;
+    let welcome = authenticate(node, &mut socket, &address).await?;
     if welcome.hello.vm != *vm {
-        let cause = format!("{} stands at this address now", welcome.hello.vm);
+        let cause = format!("{} is at this address now", welcome.hello.vm);
         return Err(Error::new(Step::Handshake, vm, cause));
     }
     let now = node.now();
@@ -98,25 +105,25 @@
         node.entry.borrow_mut().forget(vm);
     }
     let (tx, stream) = socket::split(socket);
-    let (cut, cut_rx) = async_channel::bounded(1);
-    let up = UpLink {
-        out: Outlet::new(node, vm, tx),
-        cut,
+    let (abort, abort_rx) = async_channel::bounded(1);
+    let link = OpenLink {
+        sender: FrameSender::new(node, vm, tx),
+        abort,
         boot: welcome.hello.boot,
-        opened: now,
-        heard: Cell::new(now),
-        asked: Cell::new(None),
-        used: Cell::new(now),
-        told: Cell::new(now),
+        opened_at: now,
+        last_received: Cell::new(now),
+        heartbeat_sent: Cell::new(None),
+        last_sent: Cell::new(now),
+        last_broadcast: Cell::new(now),
     };
     Ok(Opened {
-        up,
+        link,
         stream,
-        cut: cut_rx,
+        abort: abort_rx,
     })
 }
 
-/// Learns from the peers at the addresses in the settings: the list of VMs and the revision.
+/// Reads the list of VMs and the revision from the peers at the seed addresses in the settings.
 pub async fn query_seeds(node: &Rc<Node>) {
     for address in node.cfg.seeds.clone() {
         let peer = address.to_string();
@@ -129,25 +136,25 @@
     }
 }
 
-/// Reads what one seed has that is newer, until it has nothing more to say.
+/// Reads the newer state that one seed has, until it closes the connection or the timeout ends.
 async fn query_seed(node: &Rc<Node>, peer: &str) -> Result<()> {
     let stream = TcpStream::connect(peer)
         .await
         .map_err(|error| Error::new(Step::Connect, peer, error))?;
-    let mut socket = socket::open(stream, peer, max_bytes(node)).await?;
-    let welcome = prove(node, &mut socket, peer).await?;
+    let mut socket = socket::open(stream, peer, max_message_bytes(node)).await?;
+    let welcome = authenticate(node, &mut socket, peer).await?;
     let summary = wire::encode(node.now().0, &Frame::Summary(node.summary()));
     socket::send_now(&mut socket, peer, summary).await?;
     let (tx, mut stream) = socket::split(socket);
-    let reply = Reply::Peer(Outlet::new(node, &welcome.hello.vm, tx));
+    let reply = Reply::Peer(FrameSender::new(node, &welcome.hello.vm, tx));
     loop {
         let bytes = socket::receive(&mut stream, peer).await?;
         let envelope = wire::decode(peer, &bytes)?;
-        frames::take_in(node, &welcome.hello.vm, envelope.frame, &reply);
+        frames::on_frame(node, &welcome.hello.vm, envelope.frame, &reply);
     }
 }
 
-async fn prove(node: &Rc<Node>, socket: &mut socket::Socket, peer: &str) -> Result<Welcome> {
+async fn authenticate(node: &Rc<Node>, socket: &mut socket::Socket, peer: &str) -> Result<Welcome> {
     let handshake = Handshake::new(
         &node.cfg.fleet_key,
         node.cfg.vm.clone(),
@@ -162,33 +169,33 @@
     Ok(welcome)
 }
 
-fn install(node: &Rc<Node>, vm: &Name, up: UpLink) {
-    let up = Rc::new(up);
+fn install(node: &Rc<Node>, vm: &Name, link: OpenLink) {
+    let link = Rc::new(link);
     let before = node
         .links
         .borrow_mut()
-        .insert(vm.clone(), Link::Up(up.clone()));
+        .insert(vm.clone(), Link::Open(link.clone()));
     if let Some(Link::Connecting(pending)) = before {
         for frame in pending {
-            transmit_up(node, &up, frame);
+            transmit_open(node, &link, frame);
         }
     }
 }
 
 async fn read(node: &Rc<Node>, vm: &Name, stream: &mut SplitStream<socket::Socket>) -> Error {
-    let (out, up) = match node.links.borrow().get(vm) {
-        Some(Link::Up(up)) => (up.out.clone(), up.clone()),
+    let (sender, link) = match node.links.borrow().get(vm) {
+        Some(Link::Open(link)) => (link.sender.clone(), link.clone()),
         _ => return Error::new(Step::Frame, vm, "the connection was replaced"),
     };
-    let reply = Reply::Peer(out);
+    let reply = Reply::Peer(sender);
     let mut delay = DelayEstimator::default();
     loop {
         let bytes = match socket::receive(stream, vm.as_str()).await {
             Ok(bytes) => bytes,
             Err(error) => return error,
         };
-        up.heard.set(node.now());
-        up.asked.set(None);
+        link.last_received.set(node.now());
+        link.heartbeat_sent.set(None);
         let mut envelope = match wire::decode(vm.as_str(), &bytes) {
             Ok(envelope) => envelope,
             Err(error) => {
@@ -196,14 +203,14 @@
                 return error;
             }
         };
-        let late_us = delay.observe(envelope.sent_us, node.now());
-        age(&mut envelope.frame, late_us);
-        frames::take_in(node, vm, envelope.frame, &reply);
+        let delay_us = delay.observe(envelope.sent_us, node.now());
+        apply_delay(&mut envelope.frame, delay_us);
+        frames::on_frame(node, vm, envelope.frame, &reply);
     }
 }
 
-/// Tells a registered fleet's node who this is and which revision is in force here.
-fn greet(node: &Rc<Node>, vm: &Name) {
+/// Sends this node's record and its summary, in a fleet whose nodes register themselves.
+fn send_initial_state(node: &Rc<Node>, vm: &Name) {
     let Some(registration) = &node.registration else {
         return;
     };
@@ -212,8 +219,8 @@
     super::send(node, vm, &Frame::Summary(node.summary()));
 }
 
-fn fail(node: &Rc<Node>, vm: &Name) {
-    let until = node.now() + REDIAL_US;
+fn on_dial_failed(node: &Rc<Node>, vm: &Name) {
+    let until = node.now() + REDIAL_PAUSE_US;
     let before = node
         .links
         .borrow_mut()
@@ -221,7 +228,7 @@
     if let Some(Link::Connecting(pending)) = before {
         let pending: Vec<Frame> = pending;
         for frame in &pending {
-            not_sent(node, frame);
+            on_not_sent(node, frame);
         }
     }
 }
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -1,4 +1,4 @@
-//! What a node does with each frame.
+//! Dispatch of received frames.
 
 use super::Reply;
 use crate::entry_driver::{deliver, on_load_report};
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use wire::Frame;
 
-/// Takes in a frame that came from `from`; answers go to `reply`.
-pub fn take_in(node: &Rc<Node>, from: &Name, frame: Frame, reply: &Reply) {
+/// Handles a frame received from `from`; answers go to `reply`.
+pub fn on_frame(node: &Rc<Node>, from: &Name, frame: Frame, reply: &Reply) {
     match frame {
         Frame::Offer {
             offer, key, req, ..
@@ -67,7 +67,7 @@
         Frame::Cleared { fingerprint, ran } => {
             containment::on_cleared(node, from, fingerprint, ran);
         }
-        Frame::Told { id, reply } => told(node, id, reply),
+        Frame::Told { id, reply } => on_query_reply(node, id, reply),
         Frame::Alive { load } => {
             on_load_report(node, from, load);
             node.entry.borrow_mut().mark_responsive(from);
@@ -147,7 +147,9 @@
         Frame::Vms(list) => configuration::apply_vm_list(node, (*list).clone()),
         Frame::Quota(message) => {
             let in_force = node.in_force();
-            let accounts = in_force.as_ref().map(|it| &it.declarations.accounts);
+            let accounts = in_force
+                .as_ref()
+                .map(|in_force| &in_force.declarations.accounts);
             let answer = node.quotas.on_message(node.now(), from, message, accounts);
             if let Some(answer) = answer {
                 reply.send(node, Frame::Quota(answer));
@@ -156,6 +158,10 @@
     }
 }
 
-fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::SharedAnswer>) {
+fn on_query_reply(
+    node: &Rc<Node>,
+    id: names::AttemptId,
+    reply: QueryReply<crate::node::SharedAnswer>,
+) {
     deliver(node, id, Event::QueryReplied(id, reply));
 }
--- a/components/daemon/src/links/heartbeat.rs
+++ b/components/daemon/src/links/heartbeat.rs
@@ -1,11 +1,11 @@
-//! Finding out that another node is frozen, or that a connection has fallen silent.
+//! Detection of frozen nodes and dead connections by heartbeats.
 //!
-//! While something waits at a node it is asked a few times a second: such a heartbeat is a measuring act and
-//! passes the budget. Where nothing waits, a connection on which something was told and nothing was heard for
-//! seconds is asked once, and given up without an answer. That says nothing of the node's load, and has a limit
-//! of its own.
+//! While work waits at a node, it gets a heartbeat a few times a second; such a heartbeat is a
+//! measuring act and is charged to the budget. On an idle connection, one heartbeat is sent when
+//! frames were sent but none received for seconds, and the connection is closed if there is no
+//! answer. That measures no load, and has a limit of its own.
 
-use super::{push, questions_lost, Link, UpLink};
+use super::{enqueue, fail_pending_queries, Link, OpenLink};
 use crate::entry_driver;
 use crate::node::Node;
 use async_std::task;
@@ -17,105 +17,114 @@
 use std::time::Duration;
 use wire::Frame;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
-/// A node at which something waits is asked when nothing was heard for so long, in microseconds.
-const QUIET_US: u64 = 150 * MILLISECOND;
-/// A heartbeat not answered for so long means that the node does not run, in microseconds.
-const SILENT_US: u64 = 250 * MILLISECOND;
-/// A connection on which nothing was heard for so long, although something waits there and a
-/// heartbeat was not answered, is given up, in microseconds: the VM may be gone without a word.
-const DEAD_US: u64 = 3_000 * MILLISECOND;
-/// A connection on which something was told is asked when nothing was heard for so long, in microseconds, and
-/// given up when the answer takes longer than the second time. Words on a connection that has fallen silent go
-/// nowhere: without them each node of a site asked the platform for itself until the connections were closed as
-/// unused.
-const UNHEARD_US: u64 = 2_000 * MILLISECOND;
-const UNANSWERED_US: u64 = 1_000 * MILLISECOND;
-/// Connections that are asked so in one look at most: 20 a second, so that one that tells a hall of 60 nodes has
-/// asked each within 3 s.
-const ASKED_PER_LOOK: usize = 1;
-/// A connection unused for so long is closed, in microseconds.
-const IDLE_US: u64 = 60_000 * MILLISECOND;
+/// Time between two checks of all connections.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A node at which work waits gets a heartbeat after this time without a frame in either direction,
+/// in microseconds.
+const HEARTBEAT_AFTER_US: u64 = 150 * MILLISECOND;
+/// A node that does not answer a heartbeat within this time counts as unresponsive, in
+/// microseconds.
+const HEARTBEAT_TIMEOUT_US: u64 = 250 * MILLISECOND;
+/// A connection with waiting work and an unanswered heartbeat is closed after this time without a
+/// frame received, in microseconds: a VM may be gone without having closed its connections.
+const DEAD_AFTER_US: u64 = 3_000 * MILLISECOND;
+/// An idle connection on which frames were sent gets a heartbeat after the first time without a
+/// frame received, and is closed if the answer takes longer than the second; both in microseconds.
+/// Frames on a dead connection are lost: without this check, each node of a site queried the
+/// platform itself until the connections were closed as idle.
+const IDLE_HEARTBEAT_AFTER_US: u64 = 2_000 * MILLISECOND;
+const IDLE_HEARTBEAT_TIMEOUT_US: u64 = 1_000 * MILLISECOND;
+/// Maximum number of heartbeats on idle connections per check: 20 per second, so that a node which
+/// sends a frame to a hall of 60 nodes has checked each connection within 3 s.
+const IDLE_HEARTBEATS_PER_CHECK: usize = 1;
+/// A connection unused for this time is closed, in microseconds.
+const IDLE_CLOSE_US: u64 = 60_000 * MILLISECOND;
 
-/// Looks after the connections to other nodes for as long as the node runs.
+/// Checks the connections to other nodes; runs until the node stops.
 pub async fn run_heartbeats(node: Rc<Node>) {
     loop {
-        task::sleep(LOOK).await;
+        task::sleep(CHECK_INTERVAL).await;
         let waiting = waiting_by_vm(&node);
-        let questions = vms_with_questions(&node);
-        let links: Vec<(Name, Rc<UpLink>)> = node
+        let queries = vms_with_queries(&node);
+        let links: Vec<(Name, Rc<OpenLink>)> = node
             .links
             .borrow()
             .iter()
             .filter_map(|(vm, link)| match link {
-                Link::Up(up) => Some((vm.clone(), up.clone())),
+                Link::Open(link) => Some((vm.clone(), link.clone())),
                 _ => None,
             })
             .collect();
-        let mut may_ask = ASKED_PER_LOOK;
-        for (vm, up) in links {
+        let mut heartbeats_left = IDLE_HEARTBEATS_PER_CHECK;
+        for (vm, link) in links {
             let attempts = waiting.get(&vm).map_or(&[][..], |ids| ids.as_slice());
-            if attempts.is_empty() && !questions.contains(&vm) {
-                look_at_quiet(&node, &up, &mut may_ask);
+            if attempts.is_empty() && !queries.contains(&vm) {
+                check_idle(&node, &link, &mut heartbeats_left);
             } else {
-                look(&node, &vm, &up, attempts);
+                check_waiting(&node, &vm, &link, attempts);
             }
         }
     }
 }
 
-/// Looks at a connection at whose end nothing waits.
-fn look_at_quiet(node: &Rc<Node>, up: &UpLink, may_ask: &mut usize) {
+/// Checks a connection to a node at which no work waits.
+fn check_idle(node: &Rc<Node>, link: &OpenLink, heartbeats_left: &mut usize) {
     let now = node.now();
-    if now.since(up.used.get()) > IDLE_US {
-        up.out.close();
+    if now.since(link.last_sent.get()) > IDLE_CLOSE_US {
+        link.sender.close();
         return;
     }
-    let heard = up.heard.get().max(up.opened);
-    match up.asked.get() {
-        Some(asked) if now.since(asked) > UNANSWERED_US && now.since(heard) > UNHEARD_US => {
-            // A full channel means that the connection is being given up already.
-            up.cut.try_send(()).ok();
+    let last_received = link.last_received.get().max(link.opened_at);
+    match link.heartbeat_sent.get() {
+        Some(sent)
+            if now.since(sent) > IDLE_HEARTBEAT_TIMEOUT_US
+                && now.since(last_received) > IDLE_HEARTBEAT_AFTER_US =>
+        {
+            // If the channel is full, the connection is being closed already.
+            link.abort.try_send(()).ok();
         }
         Some(_) => {}
         None => {
-            let was_told = up.told.get().max(up.used.get()) > heard;
-            let is_due = was_told && now.since(heard) > UNHEARD_US && *may_ask > 0;
-            if is_due && push(node, &up.out, &Frame::Heartbeat) {
-                *may_ask -= 1;
-                up.asked.set(Some(now));
+            let sent_since_received =
+                link.last_broadcast.get().max(link.last_sent.get()) > last_received;
+            let is_due = sent_since_received
+                && now.since(last_received) > IDLE_HEARTBEAT_AFTER_US
+                && *heartbeats_left > 0;
+            if is_due && enqueue(node, &link.sender, &Frame::Heartbeat) {
+                *heartbeats_left -= 1;
+                link.heartbeat_sent.set(Some(now));
             }
         }
     }
 }
 
-fn look(node: &Rc<Node>, vm: &Name, up: &UpLink, attempts: &[AttemptId]) {
+fn check_waiting(node: &Rc<Node>, vm: &Name, link: &OpenLink, attempts: &[AttemptId]) {
     let now = node.now();
-    match up.asked.get() {
-        Some(asked) if now.since(asked) > SILENT_US => {
+    match link.heartbeat_sent.get() {
+        Some(sent) if now.since(sent) > HEARTBEAT_TIMEOUT_US => {
             for id in attempts {
                 entry_driver::deliver(node, *id, Event::NodeUnresponsive(*id));
             }
             node.entry.borrow_mut().mark_unresponsive(now, vm);
-            questions_lost(node, vm);
-            if now.since(up.heard.get().max(up.opened)) > DEAD_US {
-                up.cut.try_send(()).ok();
+            fail_pending_queries(node, vm);
+            if now.since(link.last_received.get().max(link.opened_at)) > DEAD_AFTER_US {
+                link.abort.try_send(()).ok();
             }
-            up.asked.set(None);
+            link.heartbeat_sent.set(None);
         }
         Some(_) => {}
-        None => ask(node, up, now),
+        None => send_heartbeat_if_due(node, link, now),
     }
 }
 
-fn ask(node: &Rc<Node>, up: &UpLink, now: Moment) {
-    let quiet = now.since(up.heard.get().max(up.used.get())) > QUIET_US;
-    if !quiet || !node.gate.borrow_mut().spend(now, Act::HEARTBEAT) {
+fn send_heartbeat_if_due(node: &Rc<Node>, link: &OpenLink, now: Moment) {
+    let is_quiet =
+        now.since(link.last_received.get().max(link.last_sent.get())) > HEARTBEAT_AFTER_US;
+    if !is_quiet || !node.gate.borrow_mut().spend(now, Act::HEARTBEAT) {
         return;
     }
-    if push(node, &up.out, &Frame::Heartbeat) {
-        up.asked.set(Some(now));
+    if enqueue(node, &link.sender, &Frame::Heartbeat) {
+        link.heartbeat_sent.set(Some(now));
     }
 }
 
@@ -129,8 +138,8 @@
     waiting
 }
 
-/// The nodes from which the outcome of a relay or a claim is awaited.
-fn vms_with_questions(node: &Rc<Node>) -> HashSet<Name> {
+/// The nodes that have not answered a relay or a claim yet.
+fn vms_with_queries(node: &Rc<Node>) -> HashSet<Name> {
     let relays = node.relays.borrow();
     let claims = node.claim_waiters.borrow();
     let relayed = relays.values().map(|(_, vm)| vm.clone());
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -27,104 +27,104 @@
 use std::sync::Arc;
 use wire::{Frame, Request, MAX_FRAME_OVERHEAD};
 
-/// Frames that may wait for one connection. When it is full the connection counts as broken. Room for them is taken as
-/// they come: a node has hundreds of connections, on which hardly ever one waits.
-const MAX_WAITING_FRAMES: usize = 1_024;
-/// After a failed dial no other is tried for so long, in microseconds.
-const REDIAL_US: u64 = 100 * MILLISECOND;
-/// A node that could not be reached is passed over as a contact for so long, in microseconds.
-const FAILED_KEPT_US: u64 = 2_000 * MILLISECOND;
-
-/// A connection to another node, or the way to one.
+/// Maximum number of frames queued for one connection. A connection whose queue is full counts as
+/// broken. Memory for the queue is allocated as frames arrive, since a node has hundreds of
+/// connections and their queues are almost always empty.
+const MAX_QUEUED_FRAMES: usize = 1_024;
+/// Minimum pause after a failed dial, in microseconds.
+const REDIAL_PAUSE_US: u64 = 100 * MILLISECOND;
+/// A node whose dial failed is not chosen as a contact for this time after the pause, in
+/// microseconds.
+const FAILED_TTL_US: u64 = 2_000 * MILLISECOND;
+
+/// State of the connection to another node.
 #[derive(Debug)]
 pub enum Link {
-    /// Being opened; frames wait.
+    /// Being opened, with the frames that wait for it.
     Connecting(Vec<Frame>),
-    /// Open.
-    Up(Rc<UpLink>),
-    /// Could not be opened; not tried again before this moment.
+    Open(Rc<OpenLink>),
+    /// Could not be opened; not retried before this moment.
     Failed(Moment),
 }
 
-/// The way out over one connection.
+/// Queues frames for one connection.
 #[derive(Debug, Clone)]
-pub struct Outlet {
-    /// Frames to send, encoded.
+pub struct FrameSender {
+    /// Encoded frames.
     tx: Sender<Vec<u8>>,
-    /// Whether the other end stands in this node's hall.
+    /// Whether the peer is in this node's hall.
     same_hall: bool,
 }
 
-impl Outlet {
-    /// The way out to the node on `vm`, as far as it is known where that is.
-    fn new(node: &Node, vm: &Name, tx: Sender<Vec<u8>>) -> Outlet {
+impl FrameSender {
+    /// Creates a sender to the node on `vm`. A VM whose hall is unknown counts as in the same hall.
+    fn new(node: &Node, vm: &Name, tx: Sender<Vec<u8>>) -> FrameSender {
         let same_hall = node.hall_of(vm).is_none_or(|hall| hall == node.cfg.hall);
-        Outlet { tx, same_hall }
+        FrameSender { tx, same_hall }
     }
 
-    /// Ends the connection once what waits was sent.
+    /// Closes the connection after the queued frames have been sent.
     fn close(&self) {
         self.tx.close();
     }
 
-    /// Sends a frame that is encoded already; false when the queue is full or the connection has ended.
+    /// Queues an encoded frame; false if the queue is full or the connection is closed.
     fn send(&self, kind: &'static str, bytes: Vec<u8>) -> bool {
         stats::frame_sent(kind, self.same_hall, bytes.len());
-        self.tx.len() < MAX_WAITING_FRAMES && self.tx.try_send(bytes).is_ok()
+        self.tx.len() < MAX_QUEUED_FRAMES && self.tx.try_send(bytes).is_ok()
     }
 }
 
 /// An open connection to another node.
 #[derive(Debug)]
-pub struct UpLink {
-    /// Where frames to send go.
-    pub out: Outlet,
+pub struct OpenLink {
+    pub sender: FrameSender,
     /// Boot of the other node.
     pub boot: BootId,
-    /// Ends the connection when it is sent to.
-    pub cut: Sender<()>,
-    /// When it was opened.
-    pub opened: Moment,
-    /// When the last frame came.
-    pub heard: Cell<Moment>,
-    /// When an unanswered heartbeat was sent.
-    pub asked: Cell<Option<Moment>>,
-    /// When the last frame that isn't a heartbeat was sent.
-    pub used: Cell<Moment>,
-    /// When the last word to the whole hall was sent. Such words don't keep a connection open.
-    pub told: Cell<Moment>,
+    /// A message on this channel closes the connection at once.
+    pub abort: Sender<()>,
+    pub opened_at: Moment,
+    /// When the last frame was received.
+    pub last_received: Cell<Moment>,
+    /// When a heartbeat was sent that has not been answered yet.
+    pub heartbeat_sent: Cell<Option<Moment>>,
+    /// When the last frame was sent, apart from heartbeats, replies and [`broadcast_to_connected`].
+    pub last_sent: Cell<Moment>,
+    /// When [`broadcast_to_connected`] last sent a frame. Its frames don't keep an idle connection
+    /// open.
+    pub last_broadcast: Cell<Moment>,
 }
 
-/// Where the end of an attempt is told.
+/// Destination of replies.
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// The entry duty of this node.
     Local,
     /// The node at the other end of a connection.
-    Peer(Outlet),
+    Peer(FrameSender),
 }
 
 impl Reply {
-    /// Sends a frame. When a peer's queue is full its connection is closed: the other side then
-    /// asks what became of its attempts.
+    /// Sends a frame. If the peer's queue is full, its connection is closed; the peer then queries
+    /// the state of its attempts.
     pub fn send(&self, node: &Rc<Node>, frame: Frame) {
         match self {
-            Reply::Local => frames::take_in(node, &node.cfg.vm, frame, &Reply::Local),
-            Reply::Peer(out) => {
-                if !push(node, out, &frame) {
-                    out.close();
+            Reply::Local => frames::on_frame(node, &node.cfg.vm, frame, &Reply::Local),
+            Reply::Peer(sender) => {
+                if !enqueue(node, sender, &frame) {
+                    sender.close();
                 }
             }
         }
     }
 
-    /// Sends a frame without which nothing is wrong. When a peer's queue is full the frame is dropped, and its
+    /// Sends a frame that may be lost. If the peer's queue is full, the frame is dropped and the
     /// connection stays open.
     pub fn send_best_effort(&self, node: &Rc<Node>, frame: Frame) {
         match self {
             Reply::Local => self.send(node, frame),
-            Reply::Peer(out) => {
-                if !push(node, out, &frame) {
+            Reply::Peer(sender) => {
+                if !enqueue(node, sender, &frame) {
                     stats::frame_dropped(frame.kind());
                 }
             }
@@ -137,7 +137,7 @@
     transmit(node, to, Frame::Offer { offer, key, req });
 }
 
-/// Asks another node about an attempt that was sent to it.
+/// Queries another node about an attempt that was sent to it.
 pub fn query(node: &Rc<Node>, to: &Name, id: AttemptId) {
     let boot = node
         .waiters
@@ -150,12 +150,12 @@
     }
 }
 
-/// Sends a frame that needs no answer.
+/// Sends a frame, opening a connection if there is none.
 pub fn send(node: &Rc<Node>, to: &Name, frame: &Frame) {
     transmit(node, to, frame.clone());
 }
 
-/// Sends a frame that needs no answer to the other nodes of this hall.
+/// Sends a frame to all other nodes of this hall, opening connections where there are none.
 pub fn broadcast_to_hall(node: &Rc<Node>, frame: &Frame) {
     let others = node.other_nodes().into_iter();
     for (vm, _) in others.filter(|(_, same_hall)| *same_hall) {
@@ -163,9 +163,9 @@
     }
 }
 
-/// Sends a frame to the other nodes of this hall to which a connection is open.
+/// Sends a frame to the other nodes of this hall that are connected.
 pub fn broadcast_to_connected(node: &Rc<Node>, frame: &Frame) {
-    let near: Vec<Name> = node
+    let in_hall: Vec<Name> = node
         .other_nodes()
         .into_iter()
         .filter(|(_, same_hall)| *same_hall)
@@ -174,16 +174,17 @@
     let now = node.now();
     let bytes = wire::encode(now.0, frame);
     let links = node.links.borrow();
-    for vm in near {
-        if let Some(Link::Up(up)) = links.get(&vm) {
-            // A connection whose queue is full is given up by whoever waits there for an answer.
-            up.out.send(frame.kind(), bytes.clone());
-            up.told.set(now);
+    for vm in in_hall {
+        if let Some(Link::Open(link)) = links.get(&vm) {
+            // A full queue is ignored here: a party that waits for an answer on the connection
+            // closes it.
+            link.sender.send(frame.kind(), bytes.clone());
+            link.last_broadcast.set(now);
         }
     }
 }
 
-/// What the quota duty sees of the other nodes.
+/// The quota duty's view of the other nodes.
 pub struct Peers(pub Rc<Node>);
 
 impl quota::Peers for Peers {
@@ -206,16 +207,16 @@
     }
 
     fn in_hall(&self) -> Vec<Name> {
-        let me = self.own_vm();
+        let own = self.own_vm();
         let mut nodes = quota::Peers::nodes(self);
-        nodes.retain(|vm| *vm != me && self.0.hall_of(vm).as_ref() == Some(&self.0.cfg.hall));
+        nodes.retain(|vm| *vm != own && self.0.hall_of(vm).as_ref() == Some(&self.0.cfg.hall));
         nodes
     }
 
     fn connected_in_hall(&self) -> Vec<Name> {
-        let near = self.0.other_nodes().into_iter();
-        let near = near.filter(|(vm, same_hall)| *same_hall && is_connected(&self.0, vm));
-        near.map(|(vm, _)| vm).collect()
+        let in_hall = self.0.other_nodes().into_iter();
+        let in_hall = in_hall.filter(|(vm, same_hall)| *same_hall && is_connected(&self.0, vm));
+        in_hall.map(|(vm, _)| vm).collect()
     }
 
     fn is_connected(&self, vm: &Name) -> bool {
@@ -227,21 +228,22 @@
     }
 }
 
-/// Number of other nodes of this hall that are known, and to how many of them a connection is open.
+/// Number of other known nodes of this hall, and how many of them are connected.
 pub fn hall_connections(node: &Node) -> (usize, usize) {
-    let near = node
+    let in_hall = node
         .other_nodes()
         .into_iter()
         .filter(|(_, same_hall)| *same_hall);
-    let near: Vec<Name> = near.map(|(vm, _)| vm).collect();
-    let open = near.iter().filter(|vm| is_connected(node, vm)).count();
-    (near.len(), open)
+    let in_hall: Vec<Name> = in_hall.map(|(vm, _)| vm).collect();
+    let open = in_hall.iter().filter(|vm| is_connected(node, vm)).count();
+    (in_hall.len(), open)
 }
 
-/// Whether there is neither a connection to a node nor a try to open one.
+/// Whether no connection to a node is open or being opened, and the pause after a failed dial is
+/// over.
 pub fn can_dial(node: &Node, vm: &Name) -> bool {
     match node.links.borrow().get(vm) {
-        Some(Link::Up(_) | Link::Connecting(_)) => false,
+        Some(Link::Open(_) | Link::Connecting(_)) => false,
         Some(Link::Failed(until)) => node.now() >= *until,
         None => true,
     }
@@ -258,22 +260,22 @@
 
 /// Whether a connection to a node is open.
 pub fn is_connected(node: &Node, vm: &Name) -> bool {
-    matches!(node.links.borrow().get(vm), Some(Link::Up(_)))
+    matches!(node.links.borrow().get(vm), Some(Link::Open(_)))
 }
 
 /// Whether a connection to a node is open or being opened.
 pub fn is_connected_or_connecting(node: &Node, vm: &Name) -> bool {
     let links = node.links.borrow();
-    matches!(links.get(vm), Some(Link::Up(_) | Link::Connecting(_)))
+    matches!(links.get(vm), Some(Link::Open(_) | Link::Connecting(_)))
 }
 
-/// Whether the last try to open a connection to a node failed a moment ago.
+/// Whether the last dial of a node failed recently.
 pub fn has_failed(node: &Node, vm: &Name) -> bool {
     let links = node.links.borrow();
-    matches!(links.get(vm), Some(Link::Failed(until)) if node.now() < *until + FAILED_KEPT_US)
+    matches!(links.get(vm), Some(Link::Failed(until)) if node.now() < *until + FAILED_TTL_US)
 }
 
-/// Opens a connection to a node, unless there is one or the last try has just failed.
+/// Opens a connection to a node, unless there is one or the last dial has just failed.
 pub fn dial(node: &Rc<Node>, vm: &Name) {
     if !can_dial(node, vm) {
         return;
@@ -281,23 +283,23 @@
     let mut links = node.links.borrow_mut();
     links.insert(vm.clone(), Link::Connecting(Vec::new()));
     drop(links);
-    crate::local::spawn(dial::run_contained(node.clone(), vm.clone()));
+    crate::local::spawn(dial::run_catching_panics(node.clone(), vm.clone()));
 }
 
-/// Gives a connection up that leads to an earlier start of a node, or to an address it has left.
+/// Closes the connection to a node if it leads to an earlier boot of it or to its former address.
 pub fn close_outdated(node: &Rc<Node>, vm: &Name) {
     let links = node.links.borrow();
-    let Some(Link::Up(up)) = links.get(vm) else {
+    let Some(Link::Open(link)) = links.get(vm) else {
         return;
     };
     let boot = node.boot_of(vm);
-    if boot.is_some_and(|boot| boot != up.boot) {
-        // A full channel means that the connection is being given up already.
-        up.cut.try_send(()).ok();
+    if boot.is_some_and(|boot| boot != link.boot) {
+        // If the channel is full, the connection is being closed already.
+        link.abort.try_send(()).ok();
     }
 }
 
-/// Takes an offer back that still waits for its connection. Returns whether it did.
+/// Withdraws an offer that still waits for its connection. Returns whether there was one.
 pub fn withdraw(node: &Rc<Node>, id: AttemptId) -> bool {
     let mut links = node.links.borrow_mut();
     for link in links.values_mut() {
@@ -317,56 +319,57 @@
     let now = node.now();
     let mut links = node.links.borrow_mut();
     match links.get_mut(to) {
-        Some(Link::Up(up)) => {
-            let up = up.clone();
+        Some(Link::Open(link)) => {
+            let link = link.clone();
             drop(links);
-            transmit_up(node, &up, frame);
+            transmit_open(node, &link, frame);
         }
-        Some(Link::Connecting(pending)) if pending.len() < MAX_WAITING_FRAMES => {
+        Some(Link::Connecting(pending)) if pending.len() < MAX_QUEUED_FRAMES => {
             pending.push(frame);
         }
         Some(Link::Connecting(_)) => {
             drop(links);
-            not_sent(node, &frame);
+            on_not_sent(node, &frame);
         }
         Some(Link::Failed(until)) if now < *until => {
             drop(links);
-            not_sent(node, &frame);
+            on_not_sent(node, &frame);
         }
         Some(Link::Failed(_)) | None => {
             links.insert(to.clone(), Link::Connecting(vec![frame]));
             drop(links);
-            crate::local::spawn(dial::run_contained(node.clone(), to.clone()));
+            crate::local::spawn(dial::run_catching_panics(node.clone(), to.clone()));
         }
     }
 }
 
-/// Sends over an open connection, after a look whether the other side is still the same boot.
-fn transmit_up(node: &Rc<Node>, up: &UpLink, frame: Frame) {
+/// Sends over an open connection. A query about an attempt is sent only if the peer is still the
+/// boot that received the attempt.
+fn transmit_open(node: &Rc<Node>, link: &OpenLink, frame: Frame) {
     if let Frame::Ask { id, boot } = &frame {
-        if *boot != up.boot {
+        if *boot != link.boot {
             entry_driver::deliver(node, *id, Event::NodeGone(*id));
             return;
         }
     }
-    if !push(node, &up.out, &frame) {
-        not_sent(node, &frame);
+    if !enqueue(node, &link.sender, &frame) {
+        on_not_sent(node, &frame);
         return;
     }
-    up.used.set(node.now());
+    link.last_sent.set(node.now());
     if let Frame::Offer { offer, .. } = &frame {
         if let Some(waiter) = node.waiters.borrow_mut().get_mut(&offer.id) {
-            waiter.sent_to_boot = Some(up.boot);
+            waiter.sent_to_boot = Some(link.boot);
         }
     }
 }
 
-fn push(node: &Node, out: &Outlet, frame: &Frame) -> bool {
-    out.send(frame.kind(), wire::encode(node.now().0, frame))
+fn enqueue(node: &Node, sender: &FrameSender, frame: &Frame) -> bool {
+    sender.send(frame.kind(), wire::encode(node.now().0, frame))
 }
 
-/// Tells whoever waits for an answer to `frame` that no byte of it left this node.
-fn not_sent(node: &Rc<Node>, frame: &Frame) {
+/// Reports to the party waiting for an answer to `frame` that no byte of it left this node.
+fn on_not_sent(node: &Rc<Node>, frame: &Frame) {
     match frame {
         Frame::Offer { offer, .. } => {
             entry_driver::deliver(node, offer.id, Event::NotSent(offer.id));
@@ -379,8 +382,8 @@
     }
 }
 
-/// The connection to `vm` broke: whoever has something there is told.
-fn lost(node: &Rc<Node>, vm: &Name) {
+/// Reports that the connection to `vm` broke to everything that waits for that node.
+fn on_connection_lost(node: &Rc<Node>, vm: &Name) {
     node.fetch.borrow_mut().on_connection_lost(vm);
     let lost: Vec<AttemptId> = node
         .waiters
@@ -392,55 +395,55 @@
     for id in lost {
         entry_driver::deliver(node, id, Event::ConnectionLost(id));
     }
-    questions_lost(node, vm);
+    fail_pending_queries(node, vm);
 }
 
-/// Ends the questions that wait for an answer of `vm`.
-fn questions_lost(node: &Rc<Node>, vm: &Name) {
-    for id in waiting_at(&node.relays.borrow(), vm) {
+/// Ends the queries that wait for an answer from `vm`.
+fn fail_pending_queries(node: &Rc<Node>, vm: &Name) {
+    for id in pending_at(&node.relays.borrow(), vm) {
         relay::on_relayed(node, id, RelayResult::Lost);
     }
-    for id in waiting_at(&node.claim_waiters.borrow(), vm) {
+    for id in pending_at(&node.claim_waiters.borrow(), vm) {
         coordinator::on_claim_reply(node, id, ClaimReply::Uncertain);
     }
-    for id in waiting_at(&node.recoveries.borrow(), vm) {
+    for id in pending_at(&node.recoveries.borrow(), vm) {
         recovery::on_recovered(node, id, None);
     }
 }
 
-fn waiting_at<T>(waiting: &PendingQueries<T>, vm: &Name) -> Vec<AttemptId> {
-    waiting
+fn pending_at<T>(queries: &PendingQueries<T>, vm: &Name) -> Vec<AttemptId> {
+    queries
         .iter()
-        .filter(|(_, (_, at))| at == vm)
+        .filter(|(_, (_, queried))| queried == vm)
         .map(|(id, _)| *id)
         .collect()
 }
 
-/// Takes the time that a frame spent waiting on the way off the time that is left, and adds it to the age of
-/// what the frame tells.
-fn age(frame: &mut Frame, late_us: u64) {
+/// Subtracts the time that a frame was delayed on the way from the remaining time that it gives,
+/// and adds it to the ages that it gives.
+fn apply_delay(frame: &mut Frame, delay_us: u64) {
     match frame {
         Frame::Offer { offer, .. } => {
-            offer.remaining_us = offer.remaining_us.saturating_sub(late_us);
+            offer.remaining_us = offer.remaining_us.saturating_sub(delay_us);
         }
         Frame::Relay {
             remaining_us,
             waited_us,
             ..
         } => {
-            *remaining_us = remaining_us.saturating_sub(late_us);
-            *waited_us = waited_us.saturating_add(late_us);
+            *remaining_us = remaining_us.saturating_sub(delay_us);
+            *waited_us = waited_us.saturating_add(delay_us);
         }
         Frame::Summary(summary) | Frame::Watch { summary, .. } => {
             let confirmed_us_ago = summary.confirmed_us_ago;
-            summary.confirmed_us_ago = confirmed_us_ago.map(|us| us.saturating_add(late_us));
+            summary.confirmed_us_ago = confirmed_us_ago.map(|us| us.saturating_add(delay_us));
         }
-        Frame::Quota(message) => message.subtract_delay(late_us),
+        Frame::Quota(message) => message.subtract_delay(delay_us),
         _ => {}
     }
 }
 
-/// Largest message between nodes, in bytes: a whole body or a whole set of declarations.
-fn max_bytes(node: &Node) -> usize {
+/// Maximum size of a message between nodes, in bytes: a full body or a full set of declarations.
+fn max_message_bytes(node: &Node) -> usize {
     node.cfg.max_body_bytes.max(MAX_BUNDLE_BYTES) + MAX_FRAME_OVERHEAD
 }
--- a/components/daemon/src/links/socket.rs
+++ b/components/daemon/src/links/socket.rs
@@ -10,8 +10,8 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-/// Bytes that a connection reads at once. A node keeps one connection for each other node, so a
-/// large buffer would make up most of its memory.
+/// Size of a connection's read buffer. A node has one connection for each other node, so large
+/// buffers would make up most of its memory.
 const SOCKET_BUFFER_BYTES: usize = 8 * 1024;
 
 /// A WebSocket to another node.
@@ -19,7 +19,7 @@
 
 /// Opens a WebSocket over a connected stream.
 pub async fn open(stream: TcpStream, peer: &str, max_bytes: usize) -> Result<Socket> {
-    prepare(&stream, peer)?;
+    set_socket_options(&stream, peer)?;
     let url = format!("ws://{peer}/");
     tokio_tungstenite::client_async_with_config(url, stream.compat(), Some(config(max_bytes)))
         .await
@@ -27,15 +27,15 @@
         .map_err(|error| Error::new(Step::Connect, peer, error))
 }
 
-/// Accepts a WebSocket on a stream that a peer opened.
+/// Accepts a WebSocket on a stream that a peer has opened.
 pub async fn accept(stream: TcpStream, peer: &str, max_bytes: usize) -> Result<Socket> {
-    prepare(&stream, peer)?;
+    set_socket_options(&stream, peer)?;
     tokio_tungstenite::accept_async_with_config(stream.compat(), Some(config(max_bytes)))
         .await
         .map_err(|error| Error::new(Step::Connect, peer, error))
 }
 
-/// The next binary message.
+/// Waits for the next binary message.
 pub async fn receive(
     stream: &mut (impl futures_util::Stream<Item = tokio_tungstenite::tungstenite::Result<Message>>
               + Unpin),
@@ -52,7 +52,7 @@
                 ))
             }
             Some(Ok(Message::Text(_))) => {
-                return Err(Error::new(Step::Frame, peer, "a text message"))
+                return Err(Error::new(Step::Frame, peer, "received a text message"))
             }
             Some(Ok(_)) => {}
             Some(Err(error)) => return Err(Error::new(Step::Frame, peer, error)),
@@ -60,7 +60,7 @@
     }
 }
 
-/// Sends one message at once.
+/// Sends one message and flushes.
 pub async fn send_now(socket: &mut Socket, peer: &str, bytes: Vec<u8>) -> Result<()> {
     socket
         .send(Message::Binary(bytes.into()))
@@ -68,8 +68,8 @@
         .map_err(|error| Error::new(Step::Frame, peer, error))
 }
 
-/// Splits a socket; a task writes what the returned sender is given, flushing when it runs dry. Senders bound what
-/// waits.
+/// Splits a socket. A task writes the messages queued by the returned sender and flushes when the
+/// queue is empty. The channel is unbounded; its users limit the queue's length.
 pub fn split(socket: Socket) -> (Sender<Vec<u8>>, SplitStream<Socket>) {
     let (sink, stream) = socket.split();
     let (tx, rx) = async_channel::unbounded();
@@ -98,8 +98,8 @@
         .max_frame_size(Some(max_bytes))
 }
 
-/// Without delay for small frames; a VM that fell silent is noticed.
-fn prepare(stream: &TcpStream, peer: &str) -> Result<()> {
+/// Sets `TCP_NODELAY`, and options that detect a VM that no longer responds.
+fn set_socket_options(stream: &TcpStream, peer: &str) -> Result<()> {
     http1::enable_dead_peer_detection(stream)
         .map_err(|error| Error::new(Step::Connect, peer, error))
 }
