--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -1,8 +1,10 @@
-//! Keeps requests under which upstreams ended from further ones, and tells the other nodes.
+//! Keeps requests during which upstreams terminated from reaching further upstreams, and notifies
+//! the other nodes.
 //!
-//! The decisions are in `quarantine`. Here they meet what is at work beside this node, the other nodes and the
-//! store: a node's record names the requests it holds, so that who starts or comes back knows them with the
-//! records that it reads anyway.
+//! The crate `quarantine` decides. This module applies its verdicts to the requests at the local
+//! upstream, and shares them with the other nodes and the store: a node's record lists the requests
+//! that it has quarantined, so that a node that starts or reconnects learns them from the records
+//! that it reads anyway.
 
 mod ends;
 
@@ -14,7 +16,7 @@
 use crate::registration::{self, Registration};
 use async_std::task;
 use audit::stats;
-use ends::LastEnd;
+use ends::LastTermination;
 use entry::Event;
 use home::{Offer, Reason, Refusal, Suspicion};
 use names::{AttemptId, Moment, Name};
@@ -26,73 +28,73 @@
 use std::time::Duration;
 use wire::{Frame, Request};
 
-/// Told to callers of a request that is held, in milliseconds: it will be held then as well, and each return is of
-/// no use to them.
-const HELD_RETRY_AFTER_MS: u64 = 60_000;
-/// Told to callers of a copy while another one runs, in milliseconds: how that one ends decides, and most requests
-/// of the users' sites have ended by then.
+/// Retry delay sent to callers of a quarantined request, in milliseconds. The request will still be
+/// quarantined then, so retries are of no use to them.
+const QUARANTINE_RETRY_AFTER_MS: u64 = 60_000;
+/// Retry delay sent to callers of a suspect while a copy of it runs, in milliseconds. The outcome
+/// of the copy decides, and most requests of known deployments have ended by then.
 const COPY_RETRY_AFTER_MS: u64 = 500;
-/// Requests that a node's record holds at most; the oldest go first. They are sent with each change of the record:
-/// 34 bytes each.
-const MOST_IN_RECORD: usize = 64;
-/// Time between two looks for what is old.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+/// Maximum number of requests listed in a node's record; the oldest are dropped first. Each takes
+/// 34 bytes, which are sent with each change of the record.
+const MAX_IN_RECORD: usize = 64;
+/// Time between two removals of expired entries.
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What a node keeps of requests under which upstreams ended.
+/// State of a node about requests during which upstreams terminated.
 #[derive(Debug)]
 pub struct Containment {
-    /// What is known of them.
-    known: RefCell<Quarantine>,
-    /// Exchanges that were given up, with the caller's identity: the upstream may go on with them.
-    cut_off: RefCell<VecDeque<(Moment, String, Fingerprint)>>,
-    /// Whether a record of an earlier start of this node was found.
+    /// Suspects and quarantined requests.
+    quarantine: RefCell<Quarantine>,
+    /// Exchanges that were abandoned, each with the time and the request ID. The upstream may still
+    /// process them.
+    abandoned: RefCell<VecDeque<(Moment, String, Fingerprint)>>,
+    /// Whether a record of an earlier boot of this node was found.
     has_predecessor: Cell<bool>,
-    /// The last end of the upstream beside this node.
-    last_end: Cell<Option<LastEnd>>,
-    /// When the store was last asked what other nodes hold.
-    probed: Cell<Option<Moment>>,
+    /// The last termination of the local upstream.
+    last_termination: Cell<Option<LastTermination>>,
+    /// When the requests that other nodes have quarantined were last read from the store.
+    store_read_at: Cell<Option<Moment>>,
 }
 
 impl Containment {
-    /// What a node keeps that starts now.
+    /// State of a node that starts at `now`.
     pub fn new(now: Moment) -> Containment {
         Containment {
-            known: RefCell::new(Quarantine::new(now)),
-            cut_off: RefCell::default(),
+            quarantine: RefCell::new(Quarantine::new(now)),
+            abandoned: RefCell::default(),
             has_predecessor: Cell::default(),
-            last_end: Cell::default(),
-            probed: Cell::default(),
+            last_termination: Cell::default(),
+            store_read_at: Cell::default(),
         }
     }
 }
 
-/// How a request is treated that a caller sends.
+/// How a request from a caller is treated.
 pub fn verdict(node: &Node, req: &Request) -> Verdict {
-    let known = node.containment.known.borrow();
-    if known.is_empty() {
+    let quarantine = node.containment.quarantine.borrow();
+    if quarantine.is_empty() {
         return Verdict::Free;
     }
-    known.verdict(node.now(), req.fingerprint())
+    quarantine.verdict(node.now(), req.fingerprint())
 }
 
-/// Number of requests that are held.
-fn held_count(node: &Node) -> usize {
+fn quarantined_count(node: &Node) -> usize {
     node.containment
-        .known
+        .quarantine
         .borrow()
         .quarantined(node.now())
         .count()
 }
 
-/// What a caller is told whose request is held.
+/// The refusal of a quarantined request.
 pub fn quarantine_refusal() -> Refusal {
     Refusal {
         reason: Reason::Quarantined,
-        retry_after_ms: HELD_RETRY_AFTER_MS,
+        retry_after_ms: QUARANTINE_RETRY_AFTER_MS,
     }
 }
 
-/// The VMs at which a suspect may run, the best first.
+/// The VMs at which a suspect may run, in the order of preference.
 pub fn suspect_order(node: &Node, service: &Name, fingerprint: Fingerprint) -> Vec<Name> {
     if let Some(registration) = &node.registration {
         let fleet = registration.fleet.borrow();
@@ -110,11 +112,12 @@
     quarantine::suspect_order(fingerprint, candidates.map(|candidate| candidate.vm))
 }
 
-/// Why an offer is refused before the home duty sees it, for what is known of its request. The entry node may not
-/// have heard of it yet, nor this one.
+/// Refuses the offer of a quarantined request, or of a suspect that may not run now, before it
+/// reaches the home duty. The entry node or this node may not have learned yet that the request is
+/// harmful.
 pub fn early_refusal(node: &Node, offer: &Offer, req: &Request) -> Option<Refusal> {
-    let standing = verdict(node, req);
-    if standing == Verdict::Held {
+    let verdict = verdict(node, req);
+    if verdict == Verdict::Held {
         return Some(quarantine_refusal());
     }
     if !is_suspect(node, offer, req) {
@@ -138,101 +141,101 @@
     })
 }
 
-/// Whether an offered request is under suspicion. The entry node may not have seen that it runs well.
+/// Whether an offered request is suspect. The entry node may not have observed that it completed
+/// recently.
 pub fn is_suspect(node: &Node, offer: &Offer, req: &Request) -> bool {
-    let runs_well = || {
-        let known = node.containment.known.borrow();
-        known.completed_recently(node.now(), req.fingerprint())
+    let completed_recently = || {
+        let quarantine = node.containment.quarantine.borrow();
+        quarantine.completed_recently(node.now(), req.fingerprint())
     };
-    verdict(node, req) == Verdict::Suspect || !offer.suspicion.is_none() && !runs_well()
+    verdict(node, req) == Verdict::Suspect || !offer.suspicion.is_none() && !completed_recently()
 }
 
-/// Takes in what another node saw at the end of its upstream, and passes it on where its hall can't.
+/// Handles the suspects that another node observed when its upstream terminated, and forwards them
+/// within this hall if needed.
 pub fn on_suspects(node: &Rc<Node>, from: &Name, suspects: Vec<Suspect>) {
-    let news = learn(node, &suspects);
-    if news && is_passed_on(node, from) {
+    let is_new = record_suspects(node, &suspects);
+    if is_new && should_forward(node, from) {
         links::broadcast_to_hall(node, &Frame::Ended(suspects));
     }
 }
 
-/// Takes in that an upstream ended under requests. Returns whether any of it is news.
-fn learn(node: &Rc<Node>, suspects: &[Suspect]) -> bool {
+/// Records that an upstream terminated during requests. Returns whether any of it is new.
+fn record_suspects(node: &Rc<Node>, suspects: &[Suspect]) -> bool {
     let now = node.now();
-    let mut is_news = false;
+    let mut any_new = false;
     for suspect in suspects {
         let fingerprint = suspect.fingerprint;
-        let (news, standing, ends) = {
-            let mut known = node.containment.known.borrow_mut();
-            let news = known.on_termination(now, *suspect);
+        let (is_new, verdict, terminations) = {
+            let mut quarantine = node.containment.quarantine.borrow_mut();
+            let is_new = quarantine.on_termination(now, *suspect);
             (
-                news,
-                known.verdict(now, fingerprint),
-                known.termination_count(fingerprint),
+                is_new,
+                quarantine.verdict(now, fingerprint),
+                quarantine.termination_count(fingerprint),
             )
         };
-        if !news {
+        if !is_new {
             continue;
         }
-        is_news = true;
-        audit::suspect_recorded(suspect, standing, ends);
-        apply(node, fingerprint, standing);
+        any_new = true;
+        audit::suspect_recorded(suspect, verdict, terminations);
+        apply_verdict(node, fingerprint, verdict);
     }
-    publish(node);
-    is_news
+    publish_quarantined(node);
+    any_new
 }
 
-/// What follows for the call whose attempt ran when its upstream ended.
+/// The event for the call whose attempt was running when its upstream terminated.
 pub fn termination_event(node: &Rc<Node>, id: AttemptId, suspect: Suspect) -> Event<SharedAnswer> {
-    learn(node, &[suspect]);
+    record_suspects(node, &[suspect]);
     let service = {
         let waiters = node.waiters.borrow();
         waiters.get(&id).map(|waiter| waiter.service.clone())
     };
-    let standing = node
+    let verdict = node
         .containment
-        .known
+        .quarantine
         .borrow()
         .verdict(node.now(), suspect.fingerprint);
-    let order = match (standing, service) {
+    let order = match (verdict, service) {
         (Verdict::Held, _) | (_, None) => Vec::new(),
         (_, Some(service)) => suspect_order(node, &service, suspect.fingerprint),
     };
     Event::UpstreamTerminated { id, order }
 }
 
-/// Takes in what another node holds, from its record, and what the same start of it held before.
+/// Handles another node's record: requests that it has quarantined, and those that the same boot of
+/// it has released since its record `before`.
 pub fn on_record(node: &Rc<Node>, record: &Record, before: Option<&Record>) {
-    let same_start = before.filter(|before| before.boot == record.boot);
-    for fingerprint in same_start
-        .into_iter()
-        .flat_map(|before| &before.quarantined)
-    {
-        if !is_in_a_record(node, *fingerprint) {
-            let mut known = node.containment.known.borrow_mut();
-            known.on_peer_release(*fingerprint);
+    let same_boot = before.filter(|before| before.boot == record.boot);
+    for fingerprint in same_boot.into_iter().flat_map(|before| &before.quarantined) {
+        if !is_in_any_record(node, *fingerprint) {
+            let mut quarantine = node.containment.quarantine.borrow_mut();
+            quarantine.on_peer_release(*fingerprint);
         }
     }
     let now = node.now();
     for fingerprint in &record.quarantined {
-        let (is_news, standing) = {
-            let mut known = node.containment.known.borrow_mut();
-            let is_news = known.on_peer_quarantine(now, *fingerprint);
-            (is_news, known.verdict(now, *fingerprint))
+        let (is_new, verdict) = {
+            let mut quarantine = node.containment.quarantine.borrow_mut();
+            let is_new = quarantine.on_peer_quarantine(now, *fingerprint);
+            (is_new, quarantine.verdict(now, *fingerprint))
         };
-        if is_news {
-            audit::request_quarantined(*fingerprint, &record.vm, standing);
-            apply(node, *fingerprint, standing);
+        if is_new {
+            audit::request_quarantined(*fingerprint, &record.vm, verdict);
+            apply_verdict(node, *fingerprint, verdict);
         }
-        if is_news && standing == Verdict::Free {
-            // It runs well, as this node has seen and the other one has not.
+        if is_new && verdict == Verdict::Free {
+            // This node has observed that the request completes; the other one has not.
             clear(node, *fingerprint);
-            tell(node, &told_clear(*fingerprint, true));
+            announce(node, &cleared_frame(*fingerprint, true));
         }
     }
 }
 
-/// Whether any node's record holds a request.
-fn is_in_a_record(node: &Node, fingerprint: Fingerprint) -> bool {
+/// Whether any node's record lists a request as quarantined.
+fn is_in_any_record(node: &Node, fingerprint: Fingerprint) -> bool {
     let Some(registration) = &node.registration else {
         return false;
     };
@@ -241,96 +244,99 @@
     records.any(|record| record.quarantined.contains(&fingerprint))
 }
 
-/// An operator frees a request: all nodes are told. Returns whether anything was known against it here.
+/// Releases a request for an operator and notifies all nodes. Returns whether this node had
+/// anything recorded against it.
 pub fn release(node: &Rc<Node>, fingerprint: Fingerprint) -> bool {
     let was_known = clear(node, fingerprint);
-    tell(node, &told_clear(fingerprint, false));
+    announce(node, &cleared_frame(fingerprint, false));
     was_known
 }
 
-/// Requests that are held, with the ends that this node knows of under each.
+/// Quarantined requests, each with the number of terminations known to this node.
 pub fn quarantined_requests(node: &Node) -> Vec<(Fingerprint, usize)> {
-    let known = node.containment.known.borrow();
-    let held = known.quarantined(node.now());
-    let mut held: Vec<(Fingerprint, usize)> = held
-        .map(|fingerprint| (fingerprint, known.termination_count(fingerprint)))
+    let quarantine = node.containment.quarantine.borrow();
+    let quarantined = quarantine.quarantined(node.now());
+    let mut quarantined: Vec<(Fingerprint, usize)> = quarantined
+        .map(|fingerprint| (fingerprint, quarantine.termination_count(fingerprint)))
         .collect();
-    held.sort_unstable();
-    held
+    quarantined.sort_unstable();
+    quarantined
 }
 
-/// Takes in that the upstream beside this node has run a request to a good end. An error says nothing: a request
-/// that ends upstreams may fail before it does.
+/// Records that the local upstream has completed a request without an error. An error is no
+/// evidence: a request that crashes upstreams may fail before it does.
 pub fn on_local_completion(node: &Rc<Node>, req: &Request) {
     let fingerprint = req.fingerprint();
     let now = node.now();
     let was_known = node
         .containment
-        .known
+        .quarantine
         .borrow_mut()
         .on_local_completion(now, fingerprint);
     if was_known {
-        after_clearing(node, fingerprint);
-        tell(node, &told_clear(fingerprint, true));
+        on_suspicion_cleared(node, fingerprint);
+        announce(node, &cleared_frame(fingerprint, true));
     }
 }
 
-/// Takes in that a caller was given the upstream's good answer.
+/// Records that an answer without an error has been sent to a caller.
 pub fn on_remote_completion(node: &Node, req: &Request) {
     let now = node.now();
-    let mut known = node.containment.known.borrow_mut();
-    known.on_remote_completion(now, req.fingerprint());
+    let mut quarantine = node.containment.quarantine.borrow_mut();
+    quarantine.on_remote_completion(now, req.fingerprint());
 }
 
-/// Takes in that a request has run to a good end elsewhere (`ran`), or that an operator frees it.
+/// Handles a notice that a request has completed at another node's upstream (`ran`), or that an
+/// operator has released it.
 pub fn on_cleared(node: &Rc<Node>, from: &Name, fingerprint: Fingerprint, ran: bool) {
     if ran {
         let now = node.now();
-        let mut known = node.containment.known.borrow_mut();
-        known.on_remote_completion(now, fingerprint);
+        let mut quarantine = node.containment.quarantine.borrow_mut();
+        quarantine.on_remote_completion(now, fingerprint);
     }
-    if clear(node, fingerprint) && is_passed_on(node, from) {
-        links::broadcast_to_hall(node, &told_clear(fingerprint, ran));
+    if clear(node, fingerprint) && should_forward(node, from) {
+        links::broadcast_to_hall(node, &cleared_frame(fingerprint, ran));
     }
 }
 
-fn told_clear(fingerprint: Fingerprint, ran: bool) -> Frame {
+fn cleared_frame(fingerprint: Fingerprint, ran: bool) -> Frame {
     Frame::Cleared { fingerprint, ran }
 }
 
 fn clear(node: &Rc<Node>, fingerprint: Fingerprint) -> bool {
-    let was_known = node.containment.known.borrow_mut().clear(fingerprint);
+    let was_known = node.containment.quarantine.borrow_mut().clear(fingerprint);
     if was_known {
-        after_clearing(node, fingerprint);
+        on_suspicion_cleared(node, fingerprint);
     }
     was_known
 }
 
-fn after_clearing(node: &Rc<Node>, fingerprint: Fingerprint) {
+fn on_suspicion_cleared(node: &Rc<Node>, fingerprint: Fingerprint) {
     audit::request_cleared(fingerprint);
-    stats::set_quarantined(held_count(node));
+    stats::set_quarantined(quarantined_count(node));
     for job in node.jobs.borrow_mut().values_mut() {
         if job.suspect && job.req.fingerprint() == fingerprint {
             job.suspect = false;
         }
     }
-    publish(node);
+    publish_quarantined(node);
 }
 
-/// Forgets what is old, for as long as the node runs.
+/// Removes expired entries; runs until the node stops.
 pub async fn run_expiry(node: Rc<Node>) {
     loop {
-        task::sleep(FORGET_EVERY).await;
+        task::sleep(EXPIRE_INTERVAL).await;
         let now = node.now();
-        node.containment.known.borrow_mut().expire(now);
-        stats::set_quarantined(held_count(&node));
-        publish(&node);
+        node.containment.quarantine.borrow_mut().expire(now);
+        stats::set_quarantined(quarantined_count(&node));
+        publish_quarantined(&node);
     }
 }
 
-/// Brings what waits or runs beside this node in line with what is known of a request: what is held does not
-/// start, and what may be repeated is cut off before it ends this upstream too.
-fn apply(node: &Rc<Node>, fingerprint: Fingerprint, standing: Verdict) {
+/// Marks the copies of a request that wait or run at the local upstream as suspect. If the verdict
+/// is quarantine, waiting copies do not start, and a running copy that may be repeated is cancelled
+/// before it crashes this upstream too.
+fn apply_verdict(node: &Rc<Node>, fingerprint: Fingerprint, verdict: Verdict) {
     let mut copies = Vec::new();
     for (id, job) in node.jobs.borrow_mut().iter_mut() {
         if job.termination.is_none() && job.req.fingerprint() == fingerprint {
@@ -338,37 +344,37 @@
             copies.push(*id);
         }
     }
-    if standing != Verdict::Held {
+    if verdict != Verdict::Held {
         return;
     }
-    stats::set_quarantined(held_count(node));
+    stats::set_quarantined(quarantined_count(node));
     for id in copies {
         home_driver::withdraw(node, id, quarantine_refusal());
     }
 }
 
-/// Brings this node's record in line with what it holds: requests under which it saw an end, and those that its
-/// record named before.
-fn publish(node: &Rc<Node>) {
+/// Updates the quarantined requests in this node's record: those during which it observed a
+/// termination, and those that the record listed before, as far as they are still quarantined.
+fn publish_quarantined(node: &Rc<Node>) {
     let Some(registration) = node.registration.clone() else {
         return;
     };
     let before = registration.fleet.borrow().own().quarantined.clone();
     let after = {
-        let known = node.containment.known.borrow();
+        let quarantine = node.containment.quarantine.borrow();
         let now = node.now();
         let mut after: Vec<Fingerprint> = before.clone();
-        after.retain(|fingerprint| known.verdict(now, *fingerprint) == Verdict::Held);
-        let seen = known
+        after.retain(|fingerprint| quarantine.verdict(now, *fingerprint) == Verdict::Held);
+        let observed = quarantine
             .quarantined(now)
-            .filter(|fingerprint| known.was_observed_by(node.boot, *fingerprint))
-            .filter(|fingerprint| known.verdict(now, *fingerprint) == Verdict::Held);
-        let mut new: Vec<Fingerprint> = seen
+            .filter(|fingerprint| quarantine.was_observed_by(node.boot, *fingerprint))
+            .filter(|fingerprint| quarantine.verdict(now, *fingerprint) == Verdict::Held);
+        let mut new: Vec<Fingerprint> = observed
             .filter(|fingerprint| !after.contains(fingerprint))
             .collect();
         new.sort_unstable();
         after.extend(new);
-        let surplus = after.len().saturating_sub(MOST_IN_RECORD);
+        let surplus = after.len().saturating_sub(MAX_IN_RECORD);
         after.split_off(surplus)
     };
     if after != before {
@@ -376,40 +382,40 @@
     }
 }
 
-/// An earlier start of this node held these requests: its record goes on naming them.
+/// Adds the requests that an earlier boot of this node had quarantined to the node's record.
 pub fn adopt_predecessor_record(node: &Rc<Node>, registration: &Registration, earlier: &Record) {
     if earlier.boot == node.boot {
         return;
     }
     node.containment.has_predecessor.set(true);
     on_record(node, earlier, None);
-    let mut held = registration.fleet.borrow().own().quarantined.clone();
-    let before = held.len();
+    let mut quarantined = registration.fleet.borrow().own().quarantined.clone();
+    let before = quarantined.len();
     for fingerprint in &earlier.quarantined {
-        if !held.contains(fingerprint) {
-            held.push(*fingerprint);
+        if !quarantined.contains(fingerprint) {
+            quarantined.push(*fingerprint);
         }
     }
-    if held.len() > before {
-        registration::set_quarantined(node, registration, held);
+    if quarantined.len() > before {
+        registration::set_quarantined(node, registration, quarantined);
     }
 }
 
-/// Tells the other nodes: all of this hall and a few of each other one, which pass it on.
-fn tell(node: &Rc<Node>, frame: &Frame) {
-    let told = match &node.registration {
+/// Sends a frame to all nodes of this hall and to a few of each other hall, which forward it.
+fn announce(node: &Rc<Node>, frame: &Frame) {
+    let targets = match &node.registration {
         Some(registration) => {
             let fleet = registration.fleet.borrow();
             registry::announcement_targets(&fleet, |vm| links::has_failed(node, vm))
         }
         None => node.other_nodes().into_iter().map(|(vm, _)| vm).collect(),
     };
-    for vm in told {
+    for vm in targets {
         links::send(node, &vm, frame);
     }
 }
 
-fn is_passed_on(node: &Node, from: &Name) -> bool {
+fn should_forward(node: &Node, from: &Name) -> bool {
     let Some(registration) = &node.registration else {
         return false;
     };
--- a/components/daemon/src/operators.rs
+++ b/components/daemon/src/operators.rs
@@ -1,7 +1,8 @@
-//! The operators' address: metrics, health, status, drain, and revisions pushed by `apply`.
+//! HTTP server for operators: metrics, health, status, drain, release of quarantined requests, and
+//! revisions pushed by `apply`.
 //!
-//! The routes are tide's; connections are accepted here, since tide's own `listen` starts threads
-//! and has no graceful stop. Requests for the node's state go over a bounded channel.
+//! tide routes the requests, but connections are accepted here, since tide's own `listen` starts
+//! threads and has no graceful shutdown. Commands reach the node's thread over a bounded channel.
 
 use crate::configuration;
 use crate::containment;
@@ -23,154 +24,154 @@
 use std::time::Duration;
 use tide::{Request, Response, StatusCode};
 
-/// Commands that may wait for the node's thread.
+/// Maximum number of commands that wait for the node's thread.
 const MAX_COMMANDS: usize = 64;
-/// Pause after the listener failed.
+/// Pause after `accept` failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for the node's thread.
+/// Timeout for an answer from the node's thread.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two rounds of [`run_upkeep`].
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
-/// Largest release, in bytes: a fingerprint, a name and a reason.
+/// Time between two runs of the metrics upkeep.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum size of a release request, in bytes: a fingerprint, a name and a reason.
 const MAX_RELEASE_BYTES: usize = 16 * 1024;
-/// Largest pushed revision, in bytes.
+/// Maximum size of a pushed revision, in bytes.
 const MAX_PUSH_BYTES: usize = 16 * 1024 * 1024;
 
-/// A node's state, for operators and scripts.
+/// State of a node, for operators and scripts.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
-    /// VM.
     pub vm: String,
-    /// Data hall.
     pub hall: String,
-    /// Boot.
     pub boot: String,
     /// Revision in force; 0 for none.
     pub revision: u64,
-    /// Identity of the change that made it.
+    /// ID of the change that created this revision.
     pub change: String,
-    /// Version of the platform's list.
+    /// Version of the platform's list of VMs.
     pub list_version: u64,
-    /// Time since the platform was last known to hold nothing newer, in microseconds; none if it never was.
+    /// Time since the platform was last known to have no newer revision, in microseconds; `None` if
+    /// it never was.
     pub confirmed_us_ago: Option<u64>,
-    /// The store's era: how often it came back from an older copy, as it counts itself; none where it tells none.
+    /// The store's era: the number of restores from an older copy that the store has counted;
+    /// `None` if it reports none.
     pub store_era: Option<u64>,
-    /// The store's revision up to which the declarations were read in that era; none when it is not known.
+    /// The store's revision up to which the declarations were read in that era; `None` if unknown.
     pub store_revision: Option<u64>,
-    /// Whether the platform answered last time.
+    /// Whether the platform answered the last call.
     pub platform_reachable: bool,
-    /// Whether the upstream takes no new work.
+    /// Whether the local upstream is draining.
     pub leaving: bool,
     /// Attempts running at the upstream.
     pub in_flight: u32,
     /// Attempts queued for the upstream.
     pub queued: u32,
-    /// Attempts that may run at once.
+    /// Maximum number of attempts that run concurrently.
     pub limit: u32,
     /// Recent service time, in microseconds.
     pub service_us: u64,
-    /// Messages spent on measuring.
+    /// Messages sent for measuring.
     pub measuring_messages: u64,
-    /// Slot time spent on measuring, in microseconds.
+    /// Slot time used for measuring, in microseconds.
     pub measuring_slot_us: u64,
     /// Calls made to the platform.
     pub platform_calls: u64,
-    /// Ended attempts on record.
+    /// Recorded attempts that have ended.
     pub records: usize,
-    /// Requests held for the upstream; as many as run and wait.
+    /// Jobs for the local upstream; as many as attempts run and wait.
     pub jobs: usize,
     /// Attempts of this node's own calls that have not ended.
     pub waiters: usize,
-    /// Idempotency keys on record.
+    /// Recorded idempotency keys.
     pub keys: usize,
     /// Attempts started.
     pub started: u64,
-    /// Queued attempts handed back or cancelled.
+    /// Queued attempts that were returned or cancelled.
     pub revoked: u64,
-    /// Attempts fenced by a question before they were offered.
+    /// Attempts fenced by a query that arrived before their offer.
     pub fenced: u64,
-    /// Offers and completions that came too late to matter.
+    /// Offers and completions that arrived too late to have an effect.
     pub late: u64,
-    /// Offers of a revision below the one in force.
+    /// Offers of a revision older than the one in force.
     pub revisions_older: u64,
-    /// Offers of other content under the number in force.
+    /// Offers of different content with the number of the revision in force.
     pub revisions_differ: u64,
     /// Measuring acts that the budget refused.
     pub measuring_refused: u64,
-    /// Looks at the upstream's pace.
+    /// Health probes of the local upstream.
     pub looks: u64,
-    /// Starts on a word of the pace that was fresh without a look.
+    /// Starts that needed no probe because the slowdown had been reported recently.
     pub probes_saved: u64,
-    /// Requests that no upstream sees, because upstreams ended while they ran them.
-    pub held: Vec<HeldRequest>,
-    /// Learned length of the upstream's slow phases, in microseconds.
+    /// Quarantined requests.
+    pub held: Vec<QuarantinedRequest>,
+    /// Estimated length of the upstream's slow phases, in microseconds.
     pub slow_phase_us: u64,
-    /// How much longer the upstream is cold by its own word, in microseconds; 0 when it is warm.
+    /// Remaining time for which the upstream is cold, as it reports, in microseconds; 0 when it is
+    /// warm.
     pub cold_us: u64,
     /// Attempts refused because the upstream is cold.
     pub refused_cold: u64,
-    /// Attempts refused because the upstream takes no more within the limit that it names.
+    /// Attempts refused because of the request limit that the upstream advertises.
     pub refused_limited: u64,
-    /// Client accounts whose attempts wait for the upstream.
+    /// Number of client accounts whose attempts wait for the upstream.
     pub accounts_waiting: usize,
-    /// Attempts refused in favour of another account's.
+    /// Attempts refused in favour of another account's attempts.
     pub refused_for_account: u64,
-    /// Halls whose upstreams get no new work.
+    /// Evacuated halls, whose upstreams get no new work.
     pub evacuated: Vec<String>,
 }
 
-/// A request to the node's thread.
+/// A command to the node's thread, with the channel for its answer.
 pub enum Command {
-    /// Give the state.
+    /// Returns the node's state.
     Status(Sender<Status>),
-    /// Take no new work, or take it again.
+    /// Starts (`true`) or ends a drain of the local upstream.
     Drain(bool, Sender<()>),
-    /// Free a request that is held; tells whether anything was known against it.
+    /// Releases a quarantined request; the answer is whether anything was recorded against it.
     Release(Box<Released>, Sender<bool>),
-    /// Take in a revision that the platform accepted.
+    /// Applies a revision that the platform accepted.
     Push(Box<Configuration>, Sender<Offered>),
 }
 
-/// A request that an operator frees.
+/// A request that an operator releases from quarantine.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Released {
-    /// The request.
     pub fingerprint: Fingerprint,
-    /// Who frees it.
+    /// Name of the operator.
     pub who: String,
-    /// Why.
+    /// Reason for the release.
     pub why: String,
 }
 
-/// A request that is held, for operators.
+/// A quarantined request, for operators.
 #[derive(Debug, Clone, Serialize)]
-pub struct HeldRequest {
-    /// The request, as log lines name it.
+pub struct QuarantinedRequest {
+    /// The request's fingerprint, as in log lines.
     pub fingerprint: Fingerprint,
-    /// Ends of upstreams under it that this node knows of; 0 where another node's record holds it.
+    /// Number of upstream terminations during it that this node knows of; 0 if it is quarantined by
+    /// another node's record.
     pub ends: usize,
 }
 
 #[derive(Clone)]
-struct Shared {
+struct AppState {
     tx: Sender<Command>,
     prometheus: PrometheusHandle,
     fleet_key: String,
 }
 
-/// A channel for commands.
+/// Creates the channel for commands.
 pub fn channel() -> (Sender<Command>, Receiver<Command>) {
     async_channel::bounded(MAX_COMMANDS)
 }
 
-/// Serves operators for as long as the process runs.
+/// Serves operators; runs until the process exits.
 pub async fn serve(
     listener: TcpListener,
     tx: Sender<Command>,
     prometheus: PrometheusHandle,
     fleet_key: String,
 ) {
-    let mut app = tide::with_state(Shared {
+    let mut app = tide::with_state(AppState {
         tx,
         prometheus,
         fleet_key,
@@ -198,21 +199,21 @@
     }
 }
 
-/// Folds what histograms have taken in into their buckets. Without it they would grow for as long as
-/// nobody reads them.
+/// Moves recorded histogram samples into their buckets. Otherwise the samples would accumulate
+/// until the metrics are scraped.
 pub async fn run_upkeep(prometheus: PrometheusHandle) {
     loop {
-        task::sleep(UPKEEP_EVERY).await;
+        task::sleep(UPKEEP_INTERVAL).await;
         prometheus.run_upkeep();
     }
 }
 
-/// Carries out commands on the node's thread.
+/// Executes commands on the node's thread.
 pub async fn run_commands(node: Rc<Node>, rx: Receiver<Command>) {
     while let Ok(command) = rx.recv().await {
         match command {
             Command::Status(tx) => {
-                tx.try_send(state(&node)).ok();
+                tx.try_send(node_status(&node)).ok();
             }
             Command::Drain(drained, tx) => {
                 node.drained_by_operator.set(drained);
@@ -236,7 +237,7 @@
     }
 }
 
-fn state(node: &Rc<Node>) -> Status {
+fn node_status(node: &Rc<Node>) -> Status {
     let load = node.load();
     let spent = node.gate.borrow().spent();
     let in_force = node.in_force();
@@ -280,7 +281,7 @@
         measuring_refused: spent.refused,
         looks: spent.probes,
         probes_saved: counters.probes_saved,
-        held: held(node),
+        held: quarantined_requests(node),
         slow_phase_us: home
             .as_ref()
             .map_or(0, |home| home.slowdown().phase_us() as u64),
@@ -303,33 +304,37 @@
     halls.iter().map(|hall| hall.to_string()).collect()
 }
 
-fn held(node: &Node) -> Vec<HeldRequest> {
-    let held = containment::quarantined_requests(node).into_iter();
-    held.map(|(fingerprint, ends)| HeldRequest { fingerprint, ends })
+fn quarantined_requests(node: &Node) -> Vec<QuarantinedRequest> {
+    let quarantined = containment::quarantined_requests(node).into_iter();
+    quarantined
+        .map(|(fingerprint, ends)| QuarantinedRequest { fingerprint, ends })
         .collect()
 }
 
-async fn ask<T>(shared: &Shared, command: impl FnOnce(Sender<T>) -> Command) -> tide::Result<T> {
+async fn send_command<T>(
+    app: &AppState,
+    command: impl FnOnce(Sender<T>) -> Command,
+) -> tide::Result<T> {
     let (tx, rx) = async_channel::bounded(1);
     let busy = || tide::Error::from_str(StatusCode::ServiceUnavailable, "the node is busy");
-    shared.tx.try_send(command(tx)).map_err(|_| busy())?;
+    app.tx.try_send(command(tx)).map_err(|_| busy())?;
     match timeout(ANSWER_TIMEOUT, rx.recv()).await {
         Ok(Ok(answer)) => Ok(answer),
         _ => Err(busy()),
     }
 }
 
-async fn metrics(req: Request<Shared>) -> tide::Result {
-    let shared = req.state();
-    let state = ask(shared, Command::Status).await?;
-    export(&state);
+async fn metrics(req: Request<AppState>) -> tide::Result {
+    let app = req.state();
+    let state = send_command(app, Command::Status).await?;
+    export_gauges(&state);
     Ok(Response::builder(StatusCode::Ok)
-        .body(shared.prometheus.render())
+        .body(app.prometheus.render())
         .content_type("text/plain")
         .build())
 }
 
-fn export(state: &Status) {
+fn export_gauges(state: &Status) {
     let gauges = [
         ("drumwheel_revision", state.revision as f64),
         ("drumwheel_list_version", state.list_version as f64),
@@ -381,13 +386,13 @@
     }
 }
 
-async fn livez(req: Request<Shared>) -> tide::Result {
-    ask(req.state(), Command::Status).await?;
+async fn livez(req: Request<AppState>) -> tide::Result {
+    send_command(req.state(), Command::Status).await?;
     Ok("live\n".into())
 }
 
-async fn readyz(req: Request<Shared>) -> tide::Result {
-    let state = ask(req.state(), Command::Status).await?;
+async fn readyz(req: Request<AppState>) -> tide::Result {
+    let state = send_command(req.state(), Command::Status).await?;
     if state.revision == 0 {
         let mut res = Response::new(StatusCode::ServiceUnavailable);
         res.set_body("no configuration yet\n");
@@ -396,20 +401,20 @@
     Ok("ready\n".into())
 }
 
-async fn status(req: Request<Shared>) -> tide::Result {
-    let state = ask(req.state(), Command::Status).await?;
+async fn status(req: Request<AppState>) -> tide::Result {
+    let state = send_command(req.state(), Command::Status).await?;
     Ok(Response::builder(StatusCode::Ok)
         .body(tide::Body::from_json(&state)?)
         .build())
 }
 
-async fn drain(req: Request<Shared>, drained: bool) -> tide::Result {
+async fn drain(req: Request<AppState>, drained: bool) -> tide::Result {
     authorise(&req)?;
-    ask(req.state(), |tx| Command::Drain(drained, tx)).await?;
+    send_command(req.state(), |tx| Command::Drain(drained, tx)).await?;
     Ok(if drained { "drained\n" } else { "undrained\n" }.into())
 }
 
-async fn release(mut req: Request<Shared>) -> tide::Result {
+async fn release(mut req: Request<AppState>) -> tide::Result {
     authorise(&req)?;
     if req.len().is_none_or(|length| length > MAX_RELEASE_BYTES) {
         return Err(tide::Error::from_str(
@@ -418,7 +423,8 @@
         ));
     }
     let released: Released = req.body_json().await?;
-    let was_known = ask(req.state(), |tx| Command::Release(Box::new(released), tx)).await?;
+    let was_known =
+        send_command(req.state(), |tx| Command::Release(Box::new(released), tx)).await?;
     Ok(if was_known {
         "released
 "
@@ -429,7 +435,7 @@
     .into())
 }
 
-async fn push(mut req: Request<Shared>) -> tide::Result {
+async fn push(mut req: Request<AppState>) -> tide::Result {
     authorise(&req)?;
     if req.len().is_none_or(|length| length > MAX_PUSH_BYTES) {
         return Err(tide::Error::from_str(
@@ -440,12 +446,13 @@
     let bytes = req.body_bytes().await?;
     let configuration: Configuration = wire::decode_message("operator", &bytes)
         .map_err(|error| tide::Error::from_str(StatusCode::BadRequest, error.to_string()))?;
-    let offered = ask(req.state(), |tx| Command::Push(Box::new(configuration), tx)).await?;
+    let offered =
+        send_command(req.state(), |tx| Command::Push(Box::new(configuration), tx)).await?;
     Ok(format!("{offered:?}\n").into())
 }
 
-/// Changes need the fleet's key as a bearer token.
-fn authorise(req: &Request<Shared>) -> tide::Result<()> {
+/// Checks that the request carries the fleet's key as a bearer token; all changes require it.
+fn authorise(req: &Request<AppState>) -> tide::Result<()> {
     let expected = format!("Bearer {}", req.state().fleet_key);
     let given = req
         .header("authorization")
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -1,4 +1,4 @@
-//! Requests that carry an idempotency key, on the way to the key's coordinator.
+//! Relaying requests with an idempotency key to the key's coordinator.
 
 use crate::coordinator;
 use crate::links::{self, Reply};
@@ -13,40 +13,38 @@
 use std::sync::Arc;
 use wire::{Frame, RelayOutcome, Request};
 
-/// Nodes of a key's ranking that are tried, one after another.
-const MOST_COORDINATORS: usize = 3;
+/// Maximum number of nodes of a key's ranking that are tried, one after another.
+const MAX_COORDINATORS: usize = 3;
 
-/// A request on its way to its key's coordinator.
+/// A request relayed to its key's coordinator.
 #[derive(Debug, Clone)]
 pub struct Relay {
     /// Time left until the caller's deadline, in microseconds.
     pub remaining_us: u64,
-    /// How long the request has waited since it was read, in microseconds.
+    /// Time since the request was read, in microseconds.
     pub waited_us: u64,
-    /// The key.
     pub key: String,
-    /// Priority from the policy.
+    /// Priority assigned by the policy.
     pub priority: u8,
-    /// Revision by which the coordinator was chosen.
+    /// Revision of the declarations by which the coordinator was chosen.
     pub revision: u64,
-    /// The request.
     pub req: Arc<Request>,
 }
 
-/// How a relay to one node ended.
+/// Result of a relay to one node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RelayResult {
-    /// The node gave the outcome.
+    /// The node returned the outcome of the request.
     Outcome(RelayOutcome),
     /// No byte of the relay left this node.
     NotSent,
-    /// The connection broke, or the node does not answer.
+    /// The connection broke, or the node did not answer.
     Lost,
 }
 
-/// Has the key's coordinator carry the request through, and returns the outcome. When a
-/// coordinator can't be reached or is lost, the next in the ranking takes over: it finds out from
-/// the other nodes whether the key ran.
+/// Relays a request to its key's coordinator and returns the outcome. If a coordinator can't be
+/// reached or is lost, the next node in the ranking takes over; it asks the other nodes whether a
+/// request with the key ran.
 pub async fn run(
     node: &Rc<Node>,
     in_force: &InForce,
@@ -56,13 +54,13 @@
     let mut reason = Reason::NoUpstream;
     for coordinator in ranking(in_force, &relay) {
         relay.remaining_us = deadline.since(node.now());
-        let relayed = if coordinator == node.cfg.vm {
+        let result = if coordinator == node.cfg.vm {
             RelayResult::Outcome(coordinator::coordinate(node, relay.clone()).await)
         } else {
-            ask(node, &coordinator, relay.clone(), deadline).await
+            relay_to(node, &coordinator, relay.clone(), deadline).await
         };
-        match relayed {
-            RelayResult::Outcome(outcome) => return settle(outcome, reason),
+        match result {
+            RelayResult::Outcome(outcome) => return qualify(outcome, reason),
             RelayResult::NotSent if reason == Reason::Lost => {}
             RelayResult::NotSent => reason = Reason::Unreachable,
             RelayResult::Lost => reason = Reason::Lost,
@@ -71,20 +69,21 @@
             break;
         }
     }
-    // Whether an earlier try with the same key ran is not known here: never "not run".
+    // It is unknown whether an earlier request with the same key ran, so the outcome is never
+    // `NotRun`.
     RelayOutcome::Unknown(reason)
 }
 
-/// When a coordinator was lost on the way, it may still act for this request: "not run" of the next
-/// one holds for that one alone.
-fn settle(outcome: RelayOutcome, reason: Reason) -> RelayOutcome {
+/// Turns `NotRun` into `Unknown` if a coordinator was lost before: it may still be processing the
+/// request, and the next coordinator's `NotRun` holds only for itself.
+fn qualify(outcome: RelayOutcome, reason: Reason) -> RelayOutcome {
     match outcome {
         RelayOutcome::NotRun(_) if reason == Reason::Lost => RelayOutcome::Unknown(reason),
         other => other,
     }
 }
 
-/// Takes in a relay from another node.
+/// Handles a relay from another node.
 pub fn on_relay(node: &Rc<Node>, id: AttemptId, relay: Relay, reply: Reply) {
     let node = node.clone();
     node.open_calls.set(node.open_calls.get() + 1);
@@ -95,13 +94,13 @@
     });
 }
 
-/// Takes in how a relay ended.
-pub fn on_relayed(node: &Rc<Node>, id: AttemptId, relayed: RelayResult) {
+/// Handles the result of a relay.
+pub fn on_relayed(node: &Rc<Node>, id: AttemptId, result: RelayResult) {
     let delivered = node
         .relays
         .borrow()
         .get(&id)
-        .is_some_and(|(tx, _)| tx.try_send(relayed).is_ok());
+        .is_some_and(|(tx, _)| tx.try_send(result).is_ok());
     if !delivered {
         stats::late_event("relay");
     }
@@ -113,11 +112,16 @@
     };
     let upstreams = in_force.declarations.upstreams(service);
     let mut ranking = ranked(&service.name, &relay.key, upstreams);
-    ranking.truncate(MOST_COORDINATORS);
+    ranking.truncate(MAX_COORDINATORS);
     ranking
 }
 
-async fn ask(node: &Rc<Node>, coordinator: &Name, relay: Relay, deadline: Moment) -> RelayResult {
+async fn relay_to(
+    node: &Rc<Node>,
+    coordinator: &Name,
+    relay: Relay,
+    deadline: Moment,
+) -> RelayResult {
     let (tx, rx) = async_channel::bounded(1);
     let id = node.next_query_id();
     node.relays
@@ -133,10 +137,10 @@
         req: relay.req,
     };
     links::send(node, coordinator, &frame);
-    let relayed = node.clock.timeout_at(deadline, rx.recv()).await;
+    let result = node.clock.timeout_at(deadline, rx.recv()).await;
     node.relays.borrow_mut().remove(&id);
-    match relayed {
-        Ok(Ok(relayed)) => relayed,
+    match result {
+        Ok(Ok(result)) => result,
         _ => RelayResult::Outcome(RelayOutcome::Unknown(Reason::Deadline)),
     }
 }
