--- a/components/daemon/src/links/accept.rs
+++ b/components/daemon/src/links/accept.rs
@@ -53,13 +53,7 @@
         .set(node.unauthenticated_peers.get() + 1);
     let authenticated = timeout(AUTHENTICATION_TIMEOUT, authenticate(node, stream, peer))
         .await
-        .unwrap_or_else(|_| {
-            Err(Error::new(
-                Step::Handshake,
-                peer,
-                "authentication timed out",
-            ))
-        });
+        .unwrap_or_else(|_| Err(Error::new(Step::Handshake, peer, "handshake timed out")));
     node.unauthenticated_peers
         .set(node.unauthenticated_peers.get() - 1);
     let (socket, vm) = match authenticated {
--- a/components/daemon/src/links/dial.rs
+++ b/components/daemon/src/links/dial.rs
@@ -50,13 +50,7 @@
 async fn run(node: Rc<Node>, vm: Name) {
     let opened = timeout(DIAL_TIMEOUT, open(&node, &vm))
         .await
-        .unwrap_or_else(|_| {
-            Err(Error::new(
-                Step::Handshake,
-                &vm,
-                "connect and handshake timed out",
-            ))
-        });
+        .unwrap_or_else(|_| Err(Error::new(Step::Handshake, &vm, "connecting timed out")));
     match opened {
         Ok(Opened {
             link,
