--- a/components/daemon/src/watching/listed.rs
+++ b/components/daemon/src/watching/listed.rs
@@ -58,7 +58,7 @@
 
 /// Queries the peers that the settings name, while this node has no list of VMs and the platform
 /// does not answer.
-pub fn ask_seeds(node: &Rc<Node>) {
+pub fn query_seeds(node: &Rc<Node>) {
     if node.view.borrow().list().version > 0 {
         return;
     }
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -182,7 +182,7 @@
             finish_first_read(node);
             set_reachable(node, false);
             tracing::info!(?topic, %error, "the platform gave no answer");
-            listed::ask_seeds(node);
+            listed::query_seeds(node);
             pause = back_off(pause).await;
             if is_known(node, *topic) {
                 break;
@@ -222,7 +222,7 @@
             node.watch.borrow_mut().on_failure(now);
             set_reachable(node, false);
             tracing::info!(%error, "the platform gave no answer");
-            listed::ask_seeds(node);
+            listed::query_seeds(node);
             announce(node, WatchNotice::Failed);
         }
     }
--- a/components/daemon/src/watching/registered.rs
+++ b/components/daemon/src/watching/registered.rs
@@ -42,7 +42,7 @@
     let watch = store.watch(kind, after.revision, wait);
     let watched = platform_call(node, Purpose::Watch, watch).await?;
     if registration.eras.borrow().known() != after.era {
-        // The revision at which the watch started_at has another meaning in the current era.
+        // The revision at which the watch began has another meaning in the current era.
         return list(node, Consistency::Latest).await;
     }
     match watched {
