--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,6 +1,6 @@
-"""Starts and stops a fleet of drumwheel's processes on loopback, for the scripts beside this file.
+"""Starts and stops a fleet of drumwheel processes on loopback, for the scripts in this directory.
 
-Only the scripts start processes; no process of the system starts another.
+Only the scripts start processes; no process of drumwheel starts another.
 """
 
 import json
@@ -23,15 +23,15 @@
 
 
 def fetch(url, data=None, headers=None, timeout=3.0):
-    """One HTTP call to a process of the fleet."""
+    """Makes one HTTP call to a process of the fleet and returns the body."""
     req = urllib.request.Request(url, data=data, headers=headers or {})
     with urllib.request.urlopen(req, timeout=timeout) as res:
         return res.read()
 
 
-def groups_of(example):
-    """Groups and their VMs, read from an example's services.ini."""
-    found = {}
+def read_groups(example):
+    """Reads the groups and their VMs from the services.ini of an example."""
+    groups = {}
     name = None
     with open(os.path.join(example, "services.ini"), encoding="utf-8") as f:
         for line in f:
@@ -41,12 +41,12 @@
             elif line.startswith("[") or "=" not in line:
                 name = None if line.startswith("[") else name
             elif name and line.split("=")[0].strip() == "upstreams":
-                found[name] = line.split("=")[1].split()
-    return found
+                groups[name] = line.split("=")[1].split()
+    return groups
 
 
 class Fleet:
-    """A platform, upstreams with a node beside each, and the files that they write."""
+    """A platform, upstreams with a local node each, and the files that they write."""
 
     def __init__(self, out, example, slots, halls, base_port=21000, service_us=5000, noise=0.5,
                  rule="expected", nested=False, queue=24, log_level="info", seed=1):
@@ -62,7 +62,7 @@
         self.queue = queue
         self.log_level = log_level
         self.seed = seed
-        self.groups = groups_of(example)
+        self.groups = read_groups(example)
         self.vms = [vm for vms in self.groups.values() for vm in vms]
         self.processes = {}
         self.callers = []
@@ -86,7 +86,7 @@
     def hall(self, vm):
         return self.halls[self.vms.index(vm) % len(self.halls)]
 
-    def entries(self):
+    def caller_addresses(self):
         return ",".join(self.address(vm, "callers") for vm in self.vms)
 
     def hosts(self):
@@ -123,8 +123,8 @@
         if self.nested:
             names = list(self.groups)
             group = next(g for g, vms in self.groups.items() if vm in vms)
-            following = names[(names.index(group) + 1) % len(names)]
-            args += ["--node", self.address(vm, "callers"), "--next-host", f"{following}.example"]
+            next_group = names[(names.index(group) + 1) % len(names)]
+            args += ["--node", self.address(vm, "callers"), "--next-host", f"{next_group}.example"]
         self.start(f"upstream-{vm}", args)
 
     def start_node(self, vm):
@@ -176,12 +176,12 @@
             capture_output=True, text=True, check=False)
 
     def wait_for(self, url, seconds=10.0):
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         while True:
             try:
                 return fetch(url, timeout=1.0)
             except (OSError, urllib.error.URLError):
-                if time.monotonic() > until:
+                if time.monotonic() > deadline:
                     raise
                 time.sleep(0.02)
 
@@ -189,21 +189,21 @@
         return json.loads(fetch(f"http://{self.address(vm, 'operators')}/status"))
 
     def wait_for_revision(self, revision, vms=None, seconds=10.0):
-        """Seconds until all of `vms` have at least `revision` in force; None when they have not."""
-        began = time.monotonic()
-        left = set(vms or self.vms)
-        while left:
-            for vm in list(left):
+        """Returns the seconds until all of `vms` have at least `revision` in force, or None on timeout."""
+        started_at = time.monotonic()
+        remaining = set(vms or self.vms)
+        while remaining:
+            for vm in list(remaining):
                 try:
                     if self.status(vm)["revision"] >= revision:
-                        left.discard(vm)
+                        remaining.discard(vm)
                 except (OSError, urllib.error.URLError):
                     pass
-            if time.monotonic() - began > seconds:
+            if time.monotonic() - started_at > seconds:
                 return None
-            if left:
+            if remaining:
                 time.sleep(0.01)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     def control(self, vm, switch):
         return json.loads(
@@ -229,7 +229,7 @@
         return process.wait(timeout=seconds)
 
     def caller(self, name, **options):
-        options.setdefault("to", self.entries())
+        options.setdefault("to", self.caller_addresses())
         options.setdefault("hosts", self.hosts())
         options.setdefault("outcomes", os.path.join(self.out, f"outcomes-{name}"))
         options.setdefault("prefix", name)
@@ -258,15 +258,15 @@
         self.processes = {}
 
 
-def report_of(caller):
+def wait_for_report(caller):
     """Waits for a caller and returns its report."""
     out, _ = caller.communicate()
     return json.loads(out)
 
 
-def say(text):
+def print_line(text):
     print(text, flush=True)
 
 
 if __name__ == "__main__":
-    sys.exit("this file is a module for the scripts beside it")
+    sys.exit("this file is a module for the scripts in this directory")
