--- a/standins/src/bin/standin-caller.rs
+++ b/standins/src/bin/standin-caller.rs
@@ -1,4 +1,4 @@
-//! Open-loop callers: requests start at their own times, whatever became of earlier ones.
+//! Open-loop callers: requests start at their scheduled times, whether or not earlier ones have ended.
 
 use async_std::task;
 use bpaf::Bpaf;
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Open-loop callers
+/// Open-loop load generator
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
@@ -31,46 +31,46 @@
     /// Duration in seconds
     #[bpaf(fallback(5.0))]
     seconds: f64,
-    /// Exponent of the Zipf distribution over services; 0 is even
+    /// Exponent of the Zipf distribution over services; 0 is uniform
     #[bpaf(fallback(0.0))]
     zipf: f64,
-    /// Share of requests that may not be repeated (POST)
+    /// Share of non-repeatable requests (POST)
     #[bpaf(fallback(0.5))]
     posts: f64,
-    /// Share of those that carry an idempotency key
+    /// Share of the non-repeatable requests that carry an idempotency key
     #[bpaf(fallback(0.0))]
     keyed: f64,
-    /// Tries of a request with a key whose outcome is unknown or not-run, through other nodes
+    /// Maximum tries of a request with a key, through other nodes, until it is answered
     #[bpaf(fallback(1))]
     tries: u32,
     /// Deadline in milliseconds
     #[bpaf(fallback(1_000))]
     deadline_ms: u64,
-    /// Bytes of an answer
+    /// Size of an answer in bytes
     #[bpaf(fallback(200))]
     answer_bytes: usize,
-    /// Requests of a burst that start at once, once a second; 0 for none
+    /// Requests that start at the same time, once per second; 0 for no bursts
     #[bpaf(fallback(0))]
     burst: u32,
     /// Levels of nested calls
     #[bpaf(fallback(0))]
     depth: u32,
-    /// Seed of arrivals and choices
+    /// Seed of the arrivals and of the other random choices
     #[bpaf(fallback(1))]
     seed: u64,
     /// Prefix of request ids
     #[bpaf(fallback("c".to_string()))]
     prefix: String,
-    /// File that notes every outcome
+    /// File that records every outcome
     outcomes: Option<PathBuf>,
 }
 
-/// A start later than this counts as missed.
-const MISSED_START: Duration = Duration::from_millis(2);
-/// Longest latency recorded, in microseconds.
-const MOST_US: u64 = 60_000_000;
-/// Extra time after the deadline before a caller gives a node up.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// A start that is later than its scheduled time by more than this counts as missed.
+const MAX_START_DELAY: Duration = Duration::from_millis(2);
+/// Maximum latency that is recorded, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Time after the deadline until a call without an answer times out.
+const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 fn split_addresses(text: String) -> Vec<SocketAddr> {
     text.split(',')
@@ -101,7 +101,8 @@
     let args = args().run();
     std::env::set_var("ASYNC_STD_THREAD_COUNT", "2");
     let ledger = Ledger::open(args.outcomes.as_deref())?;
-    let histogram = || Histogram::new_with_bounds(1, MOST_US, 3).expect("the bounds are in order");
+    let histogram =
+        || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds are in order");
     let shared = Arc::new(Shared {
         pools: args.to.iter().map(|_| Mutex::default()).collect(),
         ledger,
@@ -119,8 +120,8 @@
     Ok(())
 }
 
-/// One request with its start.
-struct Shot {
+/// One scheduled request.
+struct ScheduledRequest {
     id: String,
     host: String,
     post: bool,
@@ -135,22 +136,22 @@
     let mut rng = SmallRng::seed_from_u64(args.seed);
     let weights = zipf_weights(args.hosts.len(), args.zipf);
     let arrivals = arrivals(args, &mut rng);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut calls = Vec::new();
     for (number, at) in arrivals.into_iter().enumerate() {
         let host = args.hosts[pick(&weights, rng.random())].clone();
         let post = rng.random::<f64>() < args.posts;
         let keyed = post && rng.random::<f64>() < args.keyed;
         let first_node = rng.random_range(0..args.to.len());
-        let now = began.elapsed();
+        let now = started_at.elapsed();
         if at > now {
             task::sleep(at - now).await;
         }
-        let scheduled = began + at;
-        if scheduled.elapsed() > MISSED_START {
+        let scheduled = started_at + at;
+        if scheduled.elapsed() > MAX_START_DELAY {
             shared.totals.lock().expect("no holder panics").missed += 1;
         }
-        let shot = Shot {
+        let request = ScheduledRequest {
             id: format!("{}-{}-{number}", args.prefix, args.seed),
             host,
             post,
@@ -159,14 +160,14 @@
             at,
             scheduled,
         };
-        calls.push(task::spawn(one(shared.clone(), shot)));
+        calls.push(task::spawn(run_request(shared.clone(), request)));
     }
     for call in calls {
         call.await;
     }
 }
 
-/// Times of the requests: a Poisson process, and bursts on each full second.
+/// Start times of the requests: a Poisson process, and a burst at each full second.
 fn arrivals(args: &Args, rng: &mut SmallRng) -> Vec<Duration> {
     let mut arrivals = Vec::new();
     let mut at = 0.0;
@@ -184,8 +185,8 @@
     arrivals
 }
 
-async fn one(shared: Arc<Shared>, shot: Shot) {
-    let Shot {
+async fn run_request(shared: Arc<Shared>, request: ScheduledRequest) {
+    let ScheduledRequest {
         id,
         host,
         post,
@@ -193,32 +194,32 @@
         first_node,
         at,
         scheduled,
-    } = shot;
+    } = request;
     let at_us = at.as_micros();
     let tries = if keyed { shared.args.tries } else { 1 };
     for attempt in 0..tries.max(1) {
         let node = (first_node + attempt as usize) % shared.args.to.len();
-        let call = build(&shared.args, &id, &host, post, keyed);
-        let limit = Duration::from_millis(shared.args.deadline_ms) + PATIENCE;
-        let result = async_std::future::timeout(limit, send(&shared, node, &call)).await;
+        let call = build_call(&shared.args, &id, &host, post, keyed);
+        let timeout = Duration::from_millis(shared.args.deadline_ms) + ANSWER_TIMEOUT_MARGIN;
+        let result = async_std::future::timeout(timeout, send(&shared, node, &call)).await;
         let result = result.unwrap_or_else(|_| Err("no answer in time".to_string()));
-        let (outcome, reason) = judge(&shared, &id, result);
+        let (outcome, reason) = classify(&shared, &id, result);
         let us = scheduled.elapsed().as_micros() as u64;
         let kind = if post { "once" } else { "repeatable" };
-        shared.ledger.note(&format!(
+        shared.ledger.append(&format!(
             "{id} {kind} {outcome} {reason} {us} {} {at_us} {host}",
             attempt + 1
         ));
-        count(&shared, &outcome, &reason, us);
-        let again = outcome != "answered" && attempt + 1 < tries;
-        if !again {
+        count_outcome(&shared, &outcome, &reason, us);
+        let should_retry = outcome != "answered" && attempt + 1 < tries;
+        if !should_retry {
             return;
         }
         task::sleep(Duration::from_millis(100)).await;
     }
 }
 
-fn build(args: &Args, id: &str, host: &str, post: bool, keyed: bool) -> Call {
+fn build_call(args: &Args, id: &str, host: &str, post: bool, keyed: bool) -> Call {
     let mut headers = vec![
         ("request-id".to_string(), id.to_string()),
         ("answer-bytes".to_string(), args.answer_bytes.to_string()),
@@ -247,8 +248,8 @@
 }
 
 async fn send(shared: &Shared, node: usize, call: &Call) -> Result<Reply, String> {
-    let kept = shared.pools[node].lock().expect("no holder panics").pop();
-    let stream = match kept.filter(is_open) {
+    let pooled = shared.pools[node].lock().expect("no holder panics").pop();
+    let stream = match pooled.filter(is_open) {
         Some(stream) => stream,
         None => http::connect(shared.args.to[node])
             .await
@@ -264,7 +265,7 @@
     Ok(reply)
 }
 
-/// Whether nothing was read and the other side has not closed.
+/// Whether there is no unread data and the other side has not closed the connection.
 fn is_open(stream: &async_std::net::TcpStream) -> bool {
     use std::os::fd::{AsRawFd, BorrowedFd};
     // SAFETY: the descriptor is open as long as `stream` is borrowed.
@@ -279,8 +280,8 @@
     )
 }
 
-/// The outcome that the caller was told, and why.
-fn judge(shared: &Shared, id: &str, result: Result<Reply, String>) -> (String, String) {
+/// The outcome of the call as the caller sees it, and the reason.
+fn classify(shared: &Shared, id: &str, result: Result<Reply, String>) -> (String, String) {
     let reply = match result {
         Ok(reply) => reply,
         Err(error) if error.starts_with("connect") => {
@@ -292,7 +293,7 @@
     let outcome = reply.header("drumwheel-outcome").unwrap_or("answered");
     if outcome == "answered" && reply.status == 200 {
         let length = shared.args.answer_bytes;
-        if !answer::is_whole(id, length, &reply.body) {
+        if !answer::is_complete(id, length, &reply.body) {
             shared.totals.lock().expect("no holder panics").wrong += 1;
             return ("wrong".to_string(), reason);
         }
@@ -305,7 +306,7 @@
     (outcome.to_string(), reason)
 }
 
-fn count(shared: &Shared, outcome: &str, reason: &str, us: u64) {
+fn count_outcome(shared: &Shared, outcome: &str, reason: &str, us: u64) {
     let mut totals = shared.totals.lock().expect("no holder panics");
     let name = if reason == "-" {
         outcome.to_string()
@@ -351,12 +352,12 @@
 }
 
 fn pick(weights: &[f64], draw: f64) -> usize {
-    let mut left = draw;
+    let mut remaining = draw;
     for (i, weight) in weights.iter().enumerate() {
-        if left < *weight {
+        if remaining < *weight {
             return i;
         }
-        left -= weight;
+        remaining -= weight;
     }
     weights.len() - 1
 }
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -1,10 +1,10 @@
-//! The platform stand-in as a process.
+//! The test double of the platform as a process.
 
 use bpaf::Bpaf;
 use standins::platform::Platform;
 use std::net::SocketAddr;
 
-/// Stand-in for the platform: object API and list of VMs
+/// Test double of the platform: object API and list of VMs
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
--- a/standins/src/bin/standin-relay.rs
+++ b/standins/src/bin/standin-relay.rs
@@ -1,4 +1,4 @@
-//! A bare relay of bytes: the floor against which the path's added time is measured.
+//! A bare byte relay: the lower bound with which the latency added by drumwheel is compared.
 
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
--- a/standins/src/bin/standin-upstream.rs
+++ b/standins/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream stand-in as a process.
+//! The test double of an upstream as a process.
 
 use async_std::net::TcpListener;
 use bpaf::Bpaf;
@@ -7,42 +7,42 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Stand-in for an upstream
+/// Test double of an upstream
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
     /// Address to listen on
     listen: SocketAddr,
-    /// Requests served at once
+    /// Maximum number of requests processed at once
     #[bpaf(fallback(6))]
     slots: usize,
-    /// Requests that may wait
+    /// Maximum number of waiting requests
     #[bpaf(fallback(24))]
     queue: usize,
     /// Mean service time in microseconds
     #[bpaf(fallback(5_000))]
     service_us: u64,
-    /// Share of the service time that is exponential
+    /// Share of the service time that is drawn from an exponential distribution
     #[bpaf(fallback(0.5))]
     noise: f64,
-    /// Time to open a connection, in microseconds
+    /// Delay after a connection is accepted, in microseconds
     #[bpaf(fallback(1_000))]
     open_us: u64,
     /// Factor by which the first requests are slower
     #[bpaf(fallback(1.0))]
     cold_factor: f64,
-    /// Number of requests that are slower
+    /// Number of first requests that are slower
     #[bpaf(fallback(0))]
     cold_requests: u64,
     /// Seed of the service times
     #[bpaf(fallback(1))]
     seed: u64,
-    /// The node beside it, for nested calls
+    /// Address of the local node, for nested calls
     node: Option<SocketAddr>,
     /// Host of nested calls
     #[bpaf(fallback("next".to_string()))]
     next_host: String,
-    /// File that notes every run
+    /// File that records every run
     ledger: Option<PathBuf>,
 }
 
--- a/standins/src/bin/standin-verdict.rs
+++ b/standins/src/bin/standin-verdict.rs
@@ -1,4 +1,5 @@
-//! Compares what callers were told with what upstreams ran. Exits with 1 when a promise broke.
+//! Compares the outcomes at the callers with the runs of the upstreams. Exits with 1 if a guarantee was
+//! violated.
 
 use bpaf::Bpaf;
 use standins::ledger;
@@ -6,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Compares outcomes with runs
+/// Compares the outcomes at the callers with the runs of the upstreams
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
@@ -19,7 +20,7 @@
 struct Verdict {
     calls: u64,
     outcomes: BTreeMap<String, u64>,
-    doubled: Vec<String>,
+    duplicate_runs: Vec<String>,
     ran_though_not_run: Vec<String>,
     wrong: u64,
 }
@@ -28,30 +29,36 @@
     let args = args().run();
     let runs = ledger::runs(&files(&args.dir, "ledger-")?)?;
     let mut verdict = Verdict::default();
-    let mut told: HashMap<String, (bool, String)> = HashMap::new();
+    let mut last_outcomes: HashMap<String, (bool, String)> = HashMap::new();
     for file in files(&args.dir, "outcomes-")? {
-        for row in ledger::lines(&file)? {
-            take_in(&mut verdict, &mut told, &row);
+        for fields in ledger::lines(&file)? {
+            add_outcome(&mut verdict, &mut last_outcomes, &fields);
         }
     }
-    for (id, (once, outcome)) in &told {
+    for (id, (is_once, outcome)) in &last_outcomes {
         let count = runs.get(id).copied().unwrap_or(0);
-        if *once && count > 1 {
-            verdict.doubled.push(id.clone());
+        if *is_once && count > 1 {
+            verdict.duplicate_runs.push(id.clone());
         }
         if outcome == "not-run" && count > 0 {
             verdict.ran_though_not_run.push(id.clone());
         }
     }
     print(&verdict);
-    let broken =
-        !verdict.doubled.is_empty() || !verdict.ran_though_not_run.is_empty() || verdict.wrong > 0;
+    let broken = !verdict.duplicate_runs.is_empty()
+        || !verdict.ran_though_not_run.is_empty()
+        || verdict.wrong > 0;
     Ok(ExitCode::from(u8::from(broken)))
 }
 
-/// Row: id, kind, outcome, reason, latency, try. A later try of the same id replaces the earlier.
-fn take_in(verdict: &mut Verdict, told: &mut HashMap<String, (bool, String)>, row: &[String]) {
-    let [id, kind, outcome, ..] = row else {
+/// Adds a line of outcomes: id, kind, outcome, reason, latency, try, and further fields. A later try of
+/// the same id replaces the earlier.
+fn add_outcome(
+    verdict: &mut Verdict,
+    last_outcomes: &mut HashMap<String, (bool, String)>,
+    fields: &[String],
+) {
+    let [id, kind, outcome, ..] = fields else {
         return;
     };
     verdict.calls += 1;
@@ -59,7 +66,7 @@
     if outcome == "wrong" {
         verdict.wrong += 1;
     }
-    told.insert(id.clone(), (kind == "once", outcome.clone()));
+    last_outcomes.insert(id.clone(), (kind == "once", outcome.clone()));
 }
 
 fn print(verdict: &Verdict) {
@@ -67,13 +74,13 @@
     for (outcome, count) in &verdict.outcomes {
         println!("  {outcome:<20} {count}");
     }
-    println!("doubled runs           {}", verdict.doubled.len());
+    println!("doubled runs           {}", verdict.duplicate_runs.len());
     println!(
         "not-run that ran       {}",
         verdict.ran_though_not_run.len()
     );
     println!("foreign or cut answers {}", verdict.wrong);
-    for id in verdict.doubled.iter().take(5) {
+    for id in verdict.duplicate_runs.iter().take(5) {
         println!("  doubled: {id}");
     }
     for id in verdict.ran_though_not_run.iter().take(5) {
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,11 +1,11 @@
-//! One HTTP exchange over a connection that may be kept.
+//! One HTTP exchange over a connection that may be kept alive.
 
 use async_std::net::TcpStream;
 use http_types::{Method, Request, Url};
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// A request of a stand-in.
+/// A request sent by a test double.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// HTTP method.
@@ -16,18 +16,18 @@
     pub path: String,
     /// Further headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body, may be empty.
     pub body: Vec<u8>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Opens a connection.
+/// Opens a connection with `TCP_NODELAY`.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, String> {
     let stream = TcpStream::connect(address)
         .await
@@ -52,7 +52,7 @@
     Ok(stream)
 }
 
-/// Sends `call` over `stream` and reads the whole answer.
+/// Sends `call` over `stream` and reads the complete answer.
 pub async fn exchange(stream: TcpStream, call: &Call) -> Result<Reply, String> {
     let url = Url::parse(&format!("http://{}{}", call.host, call.path))
         .map_err(|error| error.to_string())?;
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Files in which upstreams note every run and callers every outcome, one line each.
+//! Files in which upstreams record every run and callers every outcome, one line each.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -6,14 +6,14 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// An append-only file, written line by line so that a kill loses nothing that happened before.
+/// An append-only file, written line by line, so that no earlier line is lost when the process is killed.
 #[derive(Debug)]
 pub struct Ledger {
     file: Option<Mutex<File>>,
 }
 
 impl Ledger {
-    /// Opens `path` for appending; `None` notes nothing.
+    /// Opens `path` for appending; with `None`, nothing is recorded.
     pub fn open(path: Option<&Path>) -> std::io::Result<Ledger> {
         let file = match path {
             Some(path) => Some(OpenOptions::new().create(true).append(true).open(path)?),
@@ -25,30 +25,30 @@
     }
 
     /// Appends one line.
-    pub fn note(&self, line: &str) {
+    pub fn append(&self, line: &str) {
         let Some(file) = &self.file else {
             return;
         };
-        let mut file = file.lock().expect("no writer panics");
+        let mut file = file.lock().expect("no holder of the lock panics");
         writeln!(file, "{line}").expect("the ledger can be written");
     }
 }
 
-/// Reads the lines of a ledger as words.
+/// Reads a ledger: the words of each line.
 pub fn lines(path: &Path) -> std::io::Result<Vec<Vec<String>>> {
-    let mut rows = Vec::new();
+    let mut entries = Vec::new();
     for line in BufReader::new(File::open(path)?).lines() {
-        rows.push(line?.split_whitespace().map(str::to_string).collect());
+        entries.push(line?.split_whitespace().map(str::to_string).collect());
     }
-    Ok(rows)
+    Ok(entries)
 }
 
-/// Number of runs of each request id, over several upstreams' ledgers.
+/// Number of runs of each request id, summed over the ledgers of several upstreams.
 pub fn runs(paths: &[std::path::PathBuf]) -> std::io::Result<HashMap<String, u32>> {
     let mut runs = HashMap::new();
     for path in paths {
-        for row in lines(path)? {
-            if let Some(id) = row.into_iter().next() {
+        for words in lines(path)? {
+            if let Some(id) = words.into_iter().next() {
                 *runs.entry(id).or_insert(0) += 1;
             }
         }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for the systems that drumwheel meets: the platform, upstreams and callers.
+//! Test doubles of the systems that drumwheel communicates with: the platform, upstreams and callers.
 //!
-//! The product never depends on this crate. The stand-ins speak the published protocols only.
+//! The product does not depend on this crate. The test doubles use only the published protocols.
 
 pub mod answer;
 pub mod http;
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: object API, list of VMs, and switches for its failures.
+//! Test double of the platform: object API, list of VMs, and controls that inject failures.
 
 use async_std::task;
 use serde_json::{json, Value};
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 use tide::{Request, Response, StatusCode};
 
-/// Time between two looks of a waiting watch.
-const WATCH_LOOK: Duration = Duration::from_millis(5);
-/// How long a call whose answer is lost is held before it fails.
-const LOST_HOLD: Duration = Duration::from_millis(2_500);
-/// Largest value, in bytes.
-const MAX_VALUE: usize = 1024 * 1024;
+/// Poll interval of a waiting watch.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Delay before a call whose answer is lost fails.
+const LOST_ANSWER_DELAY: Duration = Duration::from_millis(2_500);
+/// Maximum size of a value, in bytes.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// Objects by key, with their versions.
 type Objects = BTreeMap<String, (u64, Vec<u8>)>;
@@ -33,7 +33,7 @@
     per_second: BTreeMap<u64, u64>,
 }
 
-/// The stand-in's state.
+/// The platform's state, shared by all requests.
 #[derive(Debug, Clone)]
 pub struct Platform {
     store: Arc<Mutex<Store>>,
@@ -69,7 +69,7 @@
         self.store.lock().expect("no holder of the lock panics")
     }
 
-    /// Counts a call; an error is the answer during an outage.
+    /// Counts and delays a call. During an outage, returns the error response instead.
     async fn admit(&self) -> Result<(), Response> {
         let slow_ms = {
             let mut store = self.lock();
@@ -94,18 +94,19 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// Answers with what `look` finds once its version is above `after`, or 304 when time is up.
+/// Answers with the value that `lookup` finds once its version is above the query parameter `after`, or
+/// with 304 after `wait_ms`.
 async fn watch(
     req: &Request<Platform>,
-    look: impl Fn(&Store) -> Option<(u64, Vec<u8>)>,
+    lookup: impl Fn(&Store) -> Option<(u64, Vec<u8>)>,
 ) -> tide::Result {
     let after = query(req, "after");
     let wait = Duration::from_millis(query(req, "wait_ms").unwrap_or(0));
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         let (found, outage) = {
             let store = req.state().lock();
-            (look(&store), store.outage)
+            (lookup(&store), store.outage)
         };
         if outage {
             return Ok(Response::new(StatusCode::ServiceUnavailable));
@@ -118,8 +119,8 @@
                 return Ok(res);
             }
             (None, None) => return Ok(Response::new(StatusCode::NotFound)),
-            _ if began.elapsed() >= wait => return Ok(Response::new(StatusCode::NotModified)),
-            _ => task::sleep(WATCH_LOOK).await,
+            _ if started_at.elapsed() >= wait => return Ok(Response::new(StatusCode::NotModified)),
+            _ => task::sleep(WATCH_POLL_INTERVAL).await,
         }
     }
 }
@@ -151,33 +152,33 @@
     let expected = req
         .header("if-match")
         .and_then(|values| values.last().as_str().parse::<u64>().ok());
-    let absent = req.header("if-none-match").is_some();
+    let must_be_absent = req.header("if-none-match").is_some();
     let value = req.body_bytes().await?;
-    if value.len() > MAX_VALUE {
+    if value.len() > MAX_VALUE_BYTES {
         return Ok(Response::new(StatusCode::PayloadTooLarge));
     }
-    let (status, lost) = {
+    let (status, is_answer_lost) = {
         let mut store = req.state().lock();
         store.writes += 1;
         let current = store.objects.get(&key).map(|(version, _)| *version);
-        let holds = match (expected, absent) {
+        let precondition_holds = match (expected, must_be_absent) {
             (Some(expected), _) => current == Some(expected),
             (None, true) => current.is_none(),
             (None, false) => true,
         };
-        let lost = store.lose_answers > 0;
+        let is_answer_lost = store.lose_answers > 0;
         store.lose_answers = store.lose_answers.saturating_sub(1);
-        if holds {
+        if precondition_holds {
             store.version += 1;
             let version = store.version;
             store.objects.insert(key, (version, value));
-            (StatusCode::Ok, lost)
+            (StatusCode::Ok, is_answer_lost)
         } else {
-            (StatusCode::PreconditionFailed, lost)
+            (StatusCode::PreconditionFailed, is_answer_lost)
         }
     };
-    if lost {
-        task::sleep(LOST_HOLD).await;
+    if is_answer_lost {
+        task::sleep(LOST_ANSWER_DELAY).await;
         return Ok(Response::new(StatusCode::GatewayTimeout));
     }
     Ok(Response::new(status))
@@ -212,7 +213,7 @@
     Ok("ok\n".into())
 }
 
-/// Goes back to the snapshot, as a platform restored from an old copy would.
+/// Restores the snapshot, like a platform that is restored from an older copy.
 async fn restore(req: Request<Platform>) -> tide::Result {
     let mut store = req.state().lock();
     if let Some((objects, version)) = store.snapshot.clone() {
--- a/standins/src/upstream.rs
+++ b/standins/src/upstream.rs
@@ -1,5 +1,5 @@
-//! Stand-in for an upstream: slots, a queue, shedding, draining, slowness and other failures, and
-//! a ledger of every run.
+//! Test double of an upstream: slots, a queue, load shedding, draining, injected slowness and
+//! failures, and a ledger of every run.
 
 use crate::answer;
 use crate::http::{self, Call};
@@ -16,39 +16,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Size of an answer when the request names none, in bytes.
+/// Size of an answer when the request does not specify one, in bytes.
 const DEFAULT_ANSWER_BYTES: usize = 200;
 
-/// Fixed properties of an upstream.
+/// Configuration of an upstream.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Requests served at once.
+    /// Maximum number of requests processed at once.
     pub slots: usize,
-    /// Requests that may wait; further ones are shed.
+    /// Maximum number of waiting requests; further ones are shed.
     pub queue: usize,
     /// Mean service time, in microseconds.
     pub service_us: u64,
     /// Share of the service time that is drawn from an exponential distribution, 0 to 1.
     pub noise: f64,
-    /// Time to open a connection, in microseconds.
+    /// Delay after a connection is accepted, in microseconds.
     pub open_us: u64,
-    /// Factor by which the first requests are slower, and their number.
+    /// Factor by which the first requests are slower, and the number of these requests.
     pub cold: (f64, u64),
     /// Seed of the service times.
     pub seed: u64,
-    /// The node beside this upstream, for nested calls.
+    /// Address of the local node, for nested calls.
     pub node: Option<SocketAddr>,
     /// Host for nested calls.
     pub next_host: String,
 }
 
-/// Switches that a test or a person may set.
+/// Injected faults, set by the control API.
 #[derive(Debug, Default)]
 struct Switches {
     slow_percent: AtomicU64,
     draining: AtomicBool,
     failing: AtomicBool,
-    cutting: AtomicBool,
+    truncating: AtomicBool,
 }
 
 /// A running upstream.
@@ -57,26 +57,26 @@
     cfg: Config,
     switches: Switches,
     busy: Mutex<usize>,
-    freed: Condvar,
+    slot_freed: Condvar,
     waiting: AtomicUsize,
     served: AtomicU64,
-    most_busy: AtomicUsize,
+    peak_busy: AtomicUsize,
     rng: std::sync::Mutex<SmallRng>,
     ledger: Ledger,
 }
 
 impl Upstream {
-    /// An upstream that notes its runs in `ledger`.
+    /// An upstream that records its runs in `ledger`.
     pub fn new(cfg: Config, ledger: Ledger) -> Arc<Upstream> {
         let switches = Switches::default();
         switches.slow_percent.store(100, Ordering::Relaxed);
         Arc::new(Upstream {
             switches,
             busy: Mutex::new(0),
-            freed: Condvar::new(),
+            slot_freed: Condvar::new(),
             waiting: AtomicUsize::new(0),
             served: AtomicU64::new(0),
-            most_busy: AtomicUsize::new(0),
+            peak_busy: AtomicUsize::new(0),
             rng: std::sync::Mutex::new(SmallRng::seed_from_u64(cfg.seed)),
             cfg,
             ledger,
@@ -114,40 +114,40 @@
             .unwrap_or(DEFAULT_ANSWER_BYTES);
         req.body_bytes().await.ok();
         if self.switches.failing.load(Ordering::Relaxed) {
-            self.ledger.note(&format!("{id} failed"));
+            self.ledger.append(&format!("{id} failed"));
             return Response::new(StatusCode::InternalServerError);
         }
-        if !self.take_slot().await {
+        if !self.acquire_slot().await {
             let mut res = Response::new(StatusCode::ServiceUnavailable);
             res.insert_header("x-shed", "1");
             return res;
         }
-        self.ledger.note(&format!("{id} ran"));
-        self.work().await;
+        self.ledger.append(&format!("{id} ran"));
+        self.simulate_work().await;
         let mut res = Response::new(StatusCode::Ok);
-        let nested = self.nested(&req, &id).await;
-        self.free_slot().await;
-        if self.switches.cutting.load(Ordering::Relaxed) {
+        let nested_result = self.call_next_level(&req, &id).await;
+        self.release_slot().await;
+        if self.switches.truncating.load(Ordering::Relaxed) {
             raw.shutdown(std::net::Shutdown::Both).ok();
         }
-        if let Err(error) = nested {
+        if let Err(error) = nested_result {
             res = Response::new(StatusCode::BadGateway);
             res.set_body(error);
-            return self.mark(res);
+            return self.add_drain_header(res);
         }
         res.set_body(answer::body(&id, length));
-        self.mark(res)
+        self.add_drain_header(res)
     }
 
-    fn mark(&self, mut res: Response) -> Response {
+    fn add_drain_header(&self, mut res: Response) -> Response {
         if self.switches.draining.load(Ordering::Relaxed) {
             res.insert_header("x-draining", "1");
         }
         res
     }
 
-    /// Calls the next level through the node beside this upstream.
-    async fn nested(&self, req: &Request, id: &str) -> Result<(), String> {
+    /// Calls the next level through the local node.
+    async fn call_next_level(&self, req: &Request, id: &str) -> Result<(), String> {
         let depth: u32 = header(req, "depth")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
@@ -179,7 +179,7 @@
         }
     }
 
-    async fn take_slot(&self) -> bool {
+    async fn acquire_slot(&self) -> bool {
         let mut busy = self.busy.lock().await;
         if *busy >= self.cfg.slots {
             if self.waiting.load(Ordering::Relaxed) >= self.cfg.queue {
@@ -187,22 +187,22 @@
             }
             self.waiting.fetch_add(1, Ordering::Relaxed);
             while *busy >= self.cfg.slots {
-                busy = self.freed.wait(busy).await;
+                busy = self.slot_freed.wait(busy).await;
             }
             self.waiting.fetch_sub(1, Ordering::Relaxed);
         }
         *busy += 1;
-        self.most_busy.fetch_max(*busy, Ordering::Relaxed);
+        self.peak_busy.fetch_max(*busy, Ordering::Relaxed);
         true
     }
 
-    async fn free_slot(&self) {
+    async fn release_slot(&self) {
         *self.busy.lock().await -= 1;
-        self.freed.notify_one();
+        self.slot_freed.notify_one();
         self.served.fetch_add(1, Ordering::Relaxed);
     }
 
-    async fn work(&self) {
+    async fn simulate_work(&self) {
         let draw: f64 = self.rng.lock().expect("no holder panics").random();
         let noise = -(1.0 - draw).ln();
         let mean = self.cfg.service_us as f64;
@@ -214,7 +214,8 @@
         task::sleep(Duration::from_micros(us as u64)).await;
     }
 
-    /// `slow=1000` makes it ten times slower; `drain=on`, `fail=on` and `cut=on` are switches.
+    /// Applies a control: `slow=1000` makes the upstream ten times slower (the value is in percent);
+    /// `drain`, `fail` and `cut` take `on` or `off`. Answers with counters.
     fn control(&self, switch: &str) -> Response {
         let (name, value) = switch.split_once('=').unwrap_or((switch, ""));
         let on = value == "on";
@@ -225,14 +226,14 @@
             }
             "drain" => self.switches.draining.store(on, Ordering::Relaxed),
             "fail" => self.switches.failing.store(on, Ordering::Relaxed),
-            "cut" => self.switches.cutting.store(on, Ordering::Relaxed),
+            "cut" => self.switches.truncating.store(on, Ordering::Relaxed),
             _ => {}
         }
         let mut res = Response::new(StatusCode::Ok);
         res.set_body(format!(
             "{{\"served\":{},\"most_busy\":{}}}\n",
             self.served.load(Ordering::Relaxed),
-            self.most_busy.load(Ordering::Relaxed)
+            self.peak_busy.load(Ordering::Relaxed)
         ));
         res
     }
@@ -242,7 +243,8 @@
     req.header(name).map(|values| values.last().as_str())
 }
 
-/// Writes `bytes` and closes; for tests of what a node makes of a broken upstream.
+/// Answers every connection with `bytes` and closes it, for tests with an upstream that answers
+/// incorrectly.
 pub async fn serve_raw(listener: TcpListener, bytes: Vec<u8>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let bytes = bytes.clone();
