--- a/components/audit/src/containment.rs
+++ b/components/audit/src/containment.rs
@@ -1,4 +1,4 @@
-//! Lines of requests under which upstreams end.
+//! Log lines about harmful requests: those under which upstreams terminate.
 
 use crate::limit::{allowed, Kind};
 use errors::Error;
@@ -6,8 +6,8 @@
 use quarantine::{Fingerprint, Suspect, Verdict};
 use registry::Incarnation;
 
-/// The upstream beside this node ended while it ran these requests: an exchange broke, and nothing stands at its
-/// address any more.
+/// The local upstream terminated while it processed these requests: an exchange broke, and nothing
+/// listens at its address any more.
 pub fn upstream_terminated(
     instance: Option<&Incarnation>,
     cause: &Error,
@@ -22,39 +22,39 @@
         %cause,
         ids = ids.join(","),
         fingerprints = fingerprints.join(","),
-        "the upstream ended"
+        "the upstream terminated"
     );
 }
 
-/// An upstream ended while it ran a request; `ends` are known now.
-pub fn suspect_recorded(suspect: &Suspect, standing: Verdict, ends: usize) {
+/// An upstream terminated while it processed a request, which is a suspect from then on.
+pub fn suspect_recorded(suspect: &Suspect, verdict: Verdict, termination_count: usize) {
     if allowed(Kind::Contained) {
         tracing::info!(
             fingerprint = %suspect.fingerprint,
             end = %suspect.termination,
             alone = suspect.sole_suspect,
-            ends,
-            ?standing,
-            "an upstream ended under a request"
+            ends = termination_count,
+            standing = ?verdict,
+            "an upstream terminated while it processed a request"
         );
     }
 }
 
-/// Another node holds a request; `standing` is how this one treats it.
-pub fn request_quarantined(fingerprint: Fingerprint, vm: &Name, standing: Verdict) {
+/// The node on `vm` has put a request into quarantine; `verdict` is how this node treats it.
+pub fn request_quarantined(fingerprint: Fingerprint, vm: &Name, verdict: Verdict) {
     if allowed(Kind::Contained) {
-        tracing::info!(%fingerprint, %vm, ?standing, "a request is held");
+        tracing::info!(%fingerprint, %vm, standing = ?verdict, "a request is quarantined");
     }
 }
 
-/// An operator frees a request.
+/// An operator releases a request from quarantine.
 pub fn release_requested(fingerprint: Fingerprint, who: &str, why: &str) {
-    tracing::info!(%fingerprint, who, why, "an operator frees a request");
+    tracing::info!(%fingerprint, who, why, "an operator releases a request from quarantine");
 }
 
-/// A request under suspicion has run to its end.
+/// A request is no longer suspect: an upstream completed it, or an operator released it.
 pub fn request_cleared(fingerprint: Fingerprint) {
     if allowed(Kind::Contained) {
-        tracing::info!(%fingerprint, "a request is cleared");
+        tracing::info!(%fingerprint, "a request is cleared of suspicion");
     }
 }
--- a/components/audit/src/declarations.rs
+++ b/components/audit/src/declarations.rs
@@ -1,4 +1,4 @@
-//! Lines of revisions on their way.
+//! Log lines about the distribution of revisions.
 
 use crate::limit::{allowed, Kind};
 use crate::stats;
@@ -16,7 +16,8 @@
     Operator,
 }
 
-/// A revision with its content arrived; checking it took `check_us`, with the pauses between its steps.
+/// A revision with its content was received; checking it took `check_us`, including the pauses
+/// between the steps.
 pub fn revision_received(
     revision: u64,
     bytes: usize,
@@ -39,12 +40,19 @@
         origin,
         ?offered,
         check_ms,
-        "a revision came"
+        "a revision was received"
     );
 }
 
-/// Another node knows something newer, and this is what is done about it. `missed` copies were asked for in vain.
-pub fn peer_has_newer(peer: &Name, mine: &Summary, theirs: &Summary, advice: Advice, missed: u32) {
+/// Another node has a newer revision or list of VMs; `advice` is what this node does about it.
+/// `failures` requests for a copy have failed.
+pub fn peer_has_newer(
+    peer: &Name,
+    mine: &Summary,
+    theirs: &Summary,
+    advice: Advice,
+    failures: u32,
+) {
     if allowed(Kind::Declarations) {
         tracing::info!(
             peer = %peer,
@@ -53,13 +61,13 @@
             list_version = mine.list_version,
             their_list_version = theirs.list_version,
             ?advice,
-            missed,
-            "a peer knows something newer"
+            missed = failures,
+            "a peer has a newer revision or list of VMs"
         );
     }
 }
 
-/// A revision with its content was sent to a node that has an older one.
+/// A revision with its content was sent to a node whose revision, `theirs`, is older.
 pub fn declarations_sent(to: &Name, theirs: u64, revision: u64, bytes: usize) {
     stats::declarations_sent(bytes);
     if allowed(Kind::Declarations) {
@@ -67,7 +75,7 @@
     }
 }
 
-/// A revision is in force from now on. The one before it was last confirmed `age_us` ago, if ever.
+/// A revision has come into force. The previous one was last confirmed `age_us` ago, if ever.
 pub fn revision_in_force(before: Option<&InForce>, after: &InForce, age_us: Option<u64>) {
     tracing::info!(
         revision = after.configuration.head.revision,
--- a/components/audit/src/lib.rs
+++ b/components/audit/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a node tells of itself: a line for each decision that touches a request or changes what the process believes,
-//! and counters and histograms.
+//! What a node reports for operators: a log line for each decision that affects a request or
+//! changes the node's state, and counters and histograms.
 //!
-//! Every kind of line is bounded in each second; what was left out is told with the next line of the kind and counted.
-//! `docs/OPERATIONS.md` reads these lines.
+//! The lines that load may multiply are limited per second and kind. Suppressed lines are counted,
+//! and their number is logged with the next line of the kind. `docs/OPERATIONS.md` explains the
+//! lines.
 
 mod containment;
 mod declarations;
--- a/components/audit/src/limit.rs
+++ b/components/audit/src/limit.rs
@@ -1,14 +1,14 @@
-//! The bound on lines that load may multiply.
+//! The rate limit on log lines that load may multiply.
 
 use crate::stats;
 use clock::Clock;
 use logs::Limiter;
 use std::cell::RefCell;
 
-/// Lines of one kind in each second.
+/// Maximum of lines of one kind in each second.
 const LINES_PER_SECOND: u32 = 200;
 
-/// The kinds of lines that load may multiply, each with a bound of its own.
+/// The kinds of lines that load may multiply, each with its own limit.
 #[derive(Debug, Clone, Copy)]
 pub enum Kind {
     Routed,
@@ -40,9 +40,9 @@
     LIMITERS.with_borrow_mut(|(limiters, start)| {
         let now_us = start.get_or_insert_with(Clock::start).now().0;
         match limiters[kind as usize].pass(now_us) {
-            Some(missed) => {
-                if missed > 0 {
-                    tracing::warn!(?kind, missed, "lines left out");
+            Some(suppressed) => {
+                if suppressed > 0 {
+                    tracing::warn!(?kind, missed = suppressed, "log lines suppressed");
                 }
                 true
             }
--- a/components/audit/src/notices.rs
+++ b/components/audit/src/notices.rs
@@ -1,4 +1,4 @@
-//! Lines of what an upstream says of itself in its answers.
+//! Log lines about the notices that an upstream gives in headers of its answers.
 
 use crate::limit::{allowed, Kind};
 use crate::stats;
@@ -6,7 +6,7 @@
 use notices::{Problem, RequestRate};
 use registry::Incarnation;
 
-/// The answer to the request `id` has a header that can't be read.
+/// The answer to the request `id` has an invalid header.
 pub fn bad_notice(id: &str, problem: &Problem) {
     stats::bad_input("upstream");
     if allowed(Kind::BadNotice) {
@@ -20,8 +20,9 @@
     }
 }
 
-/// Another limit is in force at the upstream, in requests a second, or none any more. `source` says who told it: its answer
-/// to the request `id`, or a node by its offer `id`.
+/// The request limit of the upstream changed, in requests per second; none: no limit any more.
+/// `source` is where it was learned: from the upstream's answer to the request `id`, or from a node
+/// with its offer `id`.
 pub fn request_limit(
     id: &str,
     source: &str,
@@ -37,7 +38,7 @@
                     source,
                     limit,
                     before,
-                    "the upstream names a request limit"
+                    "the upstream advertises a request limit"
                 );
             }
             None => {
@@ -45,19 +46,19 @@
                     id,
                     source,
                     before,
-                    "the upstream names no request limit any more"
+                    "the upstream no longer advertises a request limit"
                 );
             }
         }
     }
 }
 
-/// An answer says that its upstream, which stands on `vm`, leaves.
+/// A header of an answer says that its upstream, on `vm`, is draining.
 pub fn drain_advertised(incarnation: &Incarnation, vm: &Name) {
     tracing::info!(
         instance = %incarnation.id,
         born_ms = incarnation.born_ms,
         vm = %vm,
-        "an upstream leaves by its answers"
+        "an upstream is draining, according to its answer"
     );
 }
--- a/components/audit/src/purpose.rs
+++ b/components/audit/src/purpose.rs
@@ -1,13 +1,13 @@
-//! What calls to the platform are for.
+//! The purposes of calls to the platform.
 
-/// What a call to the platform is for.
+/// The purpose of a call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// Reads what operators declared, at the start or after news.
+    /// Reads the operators' declarations, at the start or after a change.
     Declarations,
-    /// Reads which halls are evacuated.
+    /// Reads which data halls are evacuated.
     Evacuations,
-    /// Waits for news.
+    /// Waits for changes.
     Watch,
     /// Reads the nodes' records, or the list of VMs.
     Fleet,
@@ -16,7 +16,7 @@
 }
 
 impl Purpose {
-    /// A fixed lower-case name for logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Purpose::Declarations => "declarations",
--- a/components/audit/src/registrations.rs
+++ b/components/audit/src/registrations.rs
@@ -1,4 +1,4 @@
-//! Lines of upstreams that register, and of the nodes' records.
+//! Log lines about the registration of upstreams and about the nodes' records.
 
 use crate::limit::{allowed, Kind};
 use crate::stats;
@@ -7,7 +7,7 @@
     ConfiguredUpstream, DepartureOutcome, HeartbeatOutcome, Incarnation, Instance, Mismatch, Record,
 };
 
-/// The upstream beside this node registered something new.
+/// A heartbeat of the local upstream registered a change.
 pub fn upstream_registered(instance: &Instance, sequence: u64, verdict: HeartbeatOutcome) {
     tracing::info!(
         instance = %instance.id,
@@ -22,10 +22,11 @@
     );
 }
 
-/// A word about the upstream beside this node was not believed: `source` is where it came from.
+/// A report about the local upstream was rejected because the settings describe another one;
+/// `source` is where it came from.
 pub fn wrong_upstream(
-    told: &Instance,
-    beside: &ConfiguredUpstream,
+    reported: &Instance,
+    configured: &ConfiguredUpstream,
     mismatch: Mismatch,
     source: &'static str,
 ) {
@@ -34,31 +35,33 @@
         tracing::warn!(
             source,
             mismatch = mismatch.as_str(),
-            instance = %told.id,
-            born_ms = told.born_ms,
-            service = %told.service,
-            address = told.address,
-            settings_service = beside.service.as_ref().map_or("-", Name::as_str),
-            settings_address = ?beside.address,
-            "not believed: it is about another upstream than the settings name"
+            instance = %reported.id,
+            born_ms = reported.born_ms,
+            service = %reported.service,
+            address = reported.address,
+            settings_service = configured.service.as_ref().map_or("-", Name::as_str),
+            settings_address = ?configured.address,
+            "report rejected: the settings name another upstream"
         );
     }
 }
 
-/// Another start was said to stand where one that takes work still answers.
-pub fn upstream_still_answers(known: &Instance, told: &Instance) {
+/// A heartbeat of another incarnation was rejected, because the known one still answers and accepts
+/// work.
+pub fn upstream_still_answers(known: &Instance, reported: &Instance) {
     stats::bad_input("heartbeat");
     if allowed(Kind::NotBelieved) {
         tracing::warn!(
-            instance = %told.id,
+            instance = %reported.id,
             known = %known.id,
             address = known.address,
-            "not believed: another upstream still answers at this address"
+            "heartbeat rejected: another upstream still answers at this address"
         );
     }
 }
 
-/// Two records of a VM have one version and say different things: somebody else wrote one of them.
+/// Two records of a VM have the same version but different content: another writer has written one
+/// of them.
 pub fn record_conflict(known: &Record, offered: &Record) {
     stats::bad_input("peer");
     if allowed(Kind::NotBelieved) {
@@ -72,12 +75,12 @@
             change = known.version.change,
             known = upstream(known),
             offered = upstream(offered),
-            "two records with one version differ; their VM's node is asked"
+            "two records with the same version differ; querying their VM's node"
         );
     }
 }
 
-/// Another node passed on a record with a version that no node can have.
+/// Another node forwarded a record with a version that no node can have reached.
 pub fn implausible_record(record: &Record) {
     stats::bad_input("peer");
     if allowed(Kind::NotBelieved) {
@@ -85,22 +88,27 @@
             vm = %record.vm,
             generation = record.version.generation,
             change = record.version.change,
-            "a record was refused: no node comes so far"
+            "a record was rejected: its version is implausibly high"
         );
     }
 }
 
-/// The upstream beside this node said that it ends.
-pub fn upstream_departing(incarnation: &Incarnation, farewell: DepartureOutcome) {
-    tracing::info!(instance = %incarnation.id, born_ms = incarnation.born_ms, ?farewell, "an upstream leaves");
+/// The local upstream has sent a departure notice.
+pub fn upstream_departing(incarnation: &Incarnation, outcome: DepartureOutcome) {
+    tracing::info!(
+        instance = %incarnation.id,
+        born_ms = incarnation.born_ms,
+        farewell = ?outcome,
+        "departure notice from the upstream"
+    );
 }
 
-/// The run that an earlier start of this node knew was found again.
-pub fn upstream_found(instance: &Instance, taken: bool) {
-    tracing::info!(instance = %instance.id, taken, "an upstream was found at its address");
+/// The incarnation that a previous boot of this node had registered still answers at its address.
+pub fn upstream_found(instance: &Instance, adopted: bool) {
+    tracing::info!(instance = %instance.id, taken = adopted, "a known upstream was found at its address");
 }
 
-/// Another node's record was offered to the store for it.
+/// This node tried to write another node's record to the store on its behalf.
 pub fn peer_record_offered(record: &Record) {
     tracing::info!(
         vm = %record.vm,
@@ -132,7 +140,7 @@
     );
 }
 
-/// Another node's record was taken in.
+/// Another node's record was applied.
 pub fn record_applied(after: &Record, before: Option<&Record>) {
     tracing::info!(
         vm = %after.vm,
--- a/components/audit/src/requests.rs
+++ b/components/audit/src/requests.rs
@@ -1,4 +1,4 @@
-//! Lines of requests on their way.
+//! Log lines about requests and attempts.
 
 use crate::limit::{allowed, Kind};
 use declarations::Route;
@@ -9,28 +9,28 @@
 use registry::LocalService;
 use wire::{RelayOutcome, Request};
 
-/// A request for which a route and a service were found.
+/// A request whose route and service are known.
 #[derive(Debug)]
 pub struct Routed<'a> {
     /// The request.
     pub req: &'a Request,
     /// Its route.
     pub route: &'a Route,
-    /// Revision by which it is served.
+    /// Revision of the declarations by which it is routed.
     pub revision: u64,
-    /// The service in whose name it runs, and what says so.
+    /// The calling service on this VM, and how it is known.
     pub caller: Option<&'a LocalService>,
-    /// The service in whose name its caller says that it calls; never believed.
+    /// The calling service that a header of the request names; logged only, never trusted.
     pub claimed_caller: Option<&'a str>,
-    /// How long its caller waits, in milliseconds.
+    /// How long the caller waits for the answer, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// How long ago its caller first tried, where that is known, in milliseconds.
+    /// How long ago the caller first tried, in milliseconds; 0 where that is not known.
     pub since_first_try_ms: u64,
-    /// Requests of callers in progress.
+    /// Callers' requests in progress on this node.
     pub calls_in_progress: usize,
 }
 
-/// A route and a service were found for a request.
+/// The route and the service of a request were determined.
 pub fn request_routed(routed: &Routed<'_>) {
     if !allowed(Kind::Routed) {
         return;
@@ -56,7 +56,7 @@
     );
 }
 
-/// Calls from this VM are made in another name than before.
+/// Calls from this VM count as calls of another service than before.
 pub fn caller_changed(
     before: Option<&LocalService>,
     next: Option<&LocalService>,
@@ -80,46 +80,47 @@
     }
 }
 
-/// A request was turned away for its key, by what was known of accounts: the revision, and since when the platform was
-/// not known to hold anything newer. The key itself is told nowhere.
+/// A request was rejected because of its account key. `revision` and `age_us` give the declarations
+/// used and how long ago they were last known to be the newest. The key itself is never logged.
 pub fn request_denied(id: &str, refusal: &Refusal, revision: u64, age_us: Option<u64>) {
     if allowed(Kind::Routed) {
         let age_ms = age_us.map(|age_us| age_us / 1_000);
         let reason = refusal.reason.as_str();
-        tracing::info!(id, reason, revision, age_ms, "request barred");
+        tracing::info!(id, reason, revision, age_ms, "request denied");
     }
 }
 
-/// A request of a limited account got no token. `part`: what this node keeps of every limit.
-pub fn over_limit(id: &str, account: &Name, refusal: &Refusal, part: f64) {
+/// A request of an account with a limit got no token. `share` is this node's share of every limit.
+pub fn over_limit(id: &str, account: &Name, refusal: &Refusal, share: f64) {
     if allowed(Kind::Routed) {
         tracing::info!(
             id,
             account = %account,
             reason = refusal.reason.as_str(),
             retry_after_ms = refusal.retry_after_ms,
-            part,
+            part = share,
             "no token for a request"
         );
     }
 }
 
-/// No route fits a request.
+/// No route matches a request.
 pub fn no_route(id: &str, host: &str, path: &str, revision: u64) {
     if allowed(Kind::Routed) {
         tracing::info!(id, host, path, revision, "no route");
     }
 }
 
-/// A look at the upstream's pace brought nothing; work starts without a word for a while.
+/// A health probe did not learn the upstream's slowdown; until a later probe does, work starts
+/// without it.
 pub fn probe_failed(cause: &str) {
     if allowed(Kind::Home) {
-        tracing::info!(cause, "the upstream's pace is not known");
+        tracing::info!(cause, "the upstream's slowdown is not known");
     }
 }
 
-/// A request was offered to the node beside an upstream. `view` is what was known of it then, and
-/// `age_us` how old that was.
+/// An attempt was offered to an upstream's local node. `view` is what was known of the upstream,
+/// `age_us` its age.
 pub fn request_offered(id: &str, offer: &Offer, to: &Name, view: &UpstreamView, age_us: u64) {
     if allowed(Kind::Offered) {
         let load = view.load.unwrap_or_default();
@@ -147,55 +148,62 @@
     }
 }
 
-/// A run takes longer than the 90th percentile of runs like it, and its entry duty is told.
-pub fn straggler_detected(id: &str, attempt: AttemptId, ran_us: u64, usual_us: u64, load: &Load) {
+/// An attempt has run longer than the 90th percentile of comparable runs; this is reported to its
+/// entry duty.
+pub fn straggler_detected(
+    id: &str,
+    attempt: AttemptId,
+    run_time_us: u64,
+    typical_us: u64,
+    load: &Load,
+) {
     if allowed(Kind::Hedged) {
         tracing::info!(
             id,
             attempt = %attempt,
-            ran_ms = ran_us / 1_000,
-            p90_ms = usual_us / 1_000,
+            ran_ms = run_time_us / 1_000,
+            p90_ms = typical_us / 1_000,
             in_flight = load.in_flight,
             limit = load.limit,
             slow_percent = load.slow_percent,
-            "run straggles"
+            "straggler detected"
         );
     }
 }
 
-/// A second attempt beside a straggling one was made or not, or one of the two brought the answer. `to` is where it
-/// went, or would have gone.
+/// A decision about a hedged attempt: it was made or not, or one of the two attempts gave the
+/// answer. `to` is the VM that it was offered to or would have been.
 pub fn hedge_decided(id: &str, hedge: &Hedge) {
     if allowed(Kind::Hedged) {
-        let second = hedge.hedged.map(|hedged| hedged.to_string());
+        let hedged = hedge.hedged.map(|hedged| hedged.to_string());
         let ms = |us: Option<u64>| us.map(|us| us / 1_000);
         tracing::info!(
             id,
             decision = hedge.decision.as_str(),
             reason = hedge.decision.reason(),
             first = %hedge.first,
-            second = second.as_deref().unwrap_or("-"),
+            second = hedged.as_deref().unwrap_or("-"),
             to = hedge.to.as_ref().map_or("-", Name::as_str),
             since_offer_ms = hedge.since_offer_us / 1_000,
             left_ms = hedge.remaining_us / 1_000,
             expected_ms = ms(hedge.expected_us),
             load_age_ms = ms(hedge.load_age_us),
             since_busy_ms = ms(hedge.since_busy_us),
-            "second attempt"
+            "hedged attempt"
         );
     }
 }
 
-/// The node beside an upstream decided about an attempt.
-/// `pace_age_us` is how old the upstream's word on its pace was; none when it never said. `account` is whose share the
-/// attempt runs in; none where slots are not shared among accounts.
+/// The home duty decided about an attempt. `slowdown_age_us` is the age of the upstream's reported
+/// slowdown; none when it has never reported one. `account` is the account whose share of the slots
+/// the attempt uses; none where slots are not shared among accounts.
 pub fn attempt_decided(
     id: &str,
     attempt: AttemptId,
     decision: &str,
     reason: Option<Reason>,
     load: Load,
-    pace_age_us: Option<u64>,
+    slowdown_age_us: Option<u64>,
     account: Option<(&Name, AccountLoad)>,
 ) {
     if allowed(Kind::Home) {
@@ -210,7 +218,7 @@
             limit = load.limit,
             service_ms = load.service_us / 1_000,
             slow_percent = load.slow_percent,
-            pace_age_ms = pace_age_us.map(|age_us| age_us / 1_000),
+            pace_age_ms = slowdown_age_us.map(|age_us| age_us / 1_000),
             held_ms = load.deferred_us / 1_000,
             cold_wait_ms = load.cold_wait_us / 1_000,
             request_limit = load.request_limit.map(RequestRate::per_s),
@@ -223,16 +231,21 @@
     }
 }
 
-/// The upstream is cold for `left_us` more by its own word, or warm again when that is 0.
-pub fn cold_state_changed(left_us: u64, source: &'static str) {
-    if left_us > 0 {
-        tracing::info!(left_ms = left_us / 1_000, source, "the upstream is cold");
+/// The upstream reports that it stays cold for another `remaining_us`, or that it is warm when that
+/// is 0.
+pub fn cold_state_changed(remaining_us: u64, source: &'static str) {
+    if remaining_us > 0 {
+        tracing::info!(
+            left_ms = remaining_us / 1_000,
+            source,
+            "the upstream is cold"
+        );
     } else {
         tracing::info!(source, "the upstream is warm");
     }
 }
 
-/// A caller was given its outcome.
+/// A caller's request ended with an outcome.
 pub fn call_ended(id: &str, outcome: &RelayOutcome, took_us: u64) {
     if !allowed(Kind::Ended) {
         return;
--- a/components/audit/src/store.rs
+++ b/components/audit/src/store.rs
@@ -1,4 +1,5 @@
-//! Lines of the platform's store: calls to it, what was read there, and its returns from older copies.
+//! Log lines about the platform's store: calls to it, what was read from it, and its restores from
+//! older copies.
 
 use crate::limit::{allowed, Kind};
 use crate::purpose::Purpose;
@@ -8,26 +9,28 @@
 use platform::StoredObject;
 use std::collections::BTreeSet;
 
-/// The platform's store came back from an older copy since the era `before`, as its answer or `from` told. The
-/// declarations had been read up to `place`; this node's record is offered again in `offer_in_us`.
+/// The platform's store was restored from an older copy after the era `before`, as one of its
+/// answers or the node `from` reported. The declarations had been read up to `position`; this
+/// node's record is written again in `offer_in_us`.
 pub fn store_restored(
     before: Era,
     era: Era,
     from: Option<&Name>,
-    place: Option<Position>,
+    position: Option<Position>,
     offer_in_us: u64,
 ) {
     tracing::info!(
         before = before.0,
         era = era.0,
         told_by = from.map_or("the store", Name::as_str),
-        read_up_to = place.map(|place| place.revision),
+        read_up_to = position.map(|position| position.revision),
         offer_in_ms = offer_in_us / MILLISECOND,
-        "the store came back from an older copy"
+        "the store was restored from an older copy"
     );
 }
 
-/// Other halls are evacuated than before, as the store or `from` told; known up to `as_of`.
+/// The set of evacuated data halls changed, as the store or the node `from` reported; it is known
+/// up to `as_of`.
 pub fn halls_evacuated(halls: &BTreeSet<Name>, as_of: Option<Position>, from: Option<&Name>) {
     let names: Vec<&str> = halls.iter().map(Name::as_str).collect();
     tracing::info!(
@@ -38,25 +41,26 @@
     );
 }
 
-/// The store holds an older version of the declarations than is in force here: it came back from an older copy, or
-/// its answer lags.
+/// The store has an older version of the declarations than the one in force here: it was restored
+/// from an older copy, or its answer is stale.
 pub fn store_has_older_version(version: u64, in_force: u64, era: Option<Era>) {
     if allowed(Kind::Declarations) {
         tracing::info!(
             version,
             in_force,
             era = era.map(|era| era.0),
-            "the store holds an older version; what is in force stays"
+            "the store has an older version; the revision in force is kept"
         );
     }
 }
 
-/// The VM was suspended, and is back. What was known before is older by that time, and deadlines have passed.
+/// The VM was suspended and has resumed. All earlier information has aged by that time, and
+/// deadlines have passed.
 pub fn vm_suspended(us: u64) {
     tracing::warn!(for_ms = us / 1_000, "the VM was suspended");
 }
 
-/// The records in the store were read.
+/// The nodes' records were read from the store.
 pub fn records_listed(count: usize, at: Position) {
     tracing::info!(
         count,
@@ -66,8 +70,8 @@
     );
 }
 
-/// The operators' declarations were read from the store; reading them into this product's form took
-/// `translate_us`.
+/// The operators' declarations were read from the store; translating them into this product's form
+/// took `translate_us`.
 pub fn declarations_read(version: u64, object: &StoredObject, translate_us: u64) {
     tracing::info!(
         version,
@@ -78,7 +82,7 @@
     );
 }
 
-/// An object of the store could not be read; what is in force stays.
+/// An object from the store is invalid; the state in force is kept.
 pub fn object_unreadable(object: &StoredObject, error: &Error) {
     if allowed(Kind::Declarations) {
         tracing::warn!(
@@ -86,7 +90,7 @@
             store_revision = object.revision,
             bytes = object.value.len(),
             %error,
-            "an object in the store can't be read"
+            "invalid object in the store"
         );
     }
 }
--- a/components/audit/tests/startup_records.rs
+++ b/components/audit/tests/startup_records.rs
@@ -1,5 +1,5 @@
-//! Records that arrive at the start of a node. When each had a line, a node of 87 wrote 137 of them within a second, while its
-//! declarations were being read.
+//! Log lines about records that a node receives during its start. With a line for each record, a
+//! node in a fleet of 87 wrote 137 lines within a second, while it was reading its declarations.
 
 use audit::{StartupCount, StartupRecords};
 use names::{BootId, Name};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_hundred_records_at_the_start_are_told_in_one_line_with_their_number() {
+fn records_received_during_the_start_are_counted_in_one_line() {
     let mut records = StartupRecords::default();
     let own_lines = (0..100).filter(|vm| {
         let first = record(*vm, 0, None);
@@ -37,16 +37,16 @@
         records.has_own_line(&first, None) || records.has_own_line(&second, Some(&first))
     });
     assert_eq!(own_lines.count(), 0);
-    let arrived = StartupCount {
+    let received = StartupCount {
         nodes: 100,
         changes: 200,
     };
-    assert_eq!(records.finish_count(), Some(arrived));
+    assert_eq!(records.finish_count(), Some(received));
     assert_eq!(records.finish_count(), None, "the line is written once");
 }
 
 #[test]
-fn a_change_after_the_start_has_a_line_of_its_own() {
+fn change_after_the_start_gets_its_own_line() {
     let mut records = StartupRecords::default();
     let before = record(1, 0, None);
     assert!(!records.has_own_line(&before, None));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_upstream_that_stops_taking_work_has_a_line_of_its_own_even_at_the_start() {
+fn upstream_that_stops_accepting_work_gets_its_own_line_during_the_start() {
     let mut records = StartupRecords::default();
     let before = record(1, 0, Some(State::Ready));
     records.has_own_line(&before, None);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_node_that_starts_again_has_no_line_of_its_own_at_the_start() {
+fn restarted_node_gets_no_line_of_its_own_during_the_start() {
     let mut records = StartupRecords::default();
     let before = record(1, 0, Some(State::Ready));
     let mut after = record(1, 1, None);
@@ -77,6 +77,6 @@
 }
 
 #[test]
-fn a_node_that_hears_of_nobody_writes_no_line() {
+fn no_line_is_written_when_no_records_are_received() {
     assert_eq!(StartupRecords::default().finish_count(), None);
 }
--- a/components/explain/src/lib.rs
+++ b/components/explain/src/lib.rs
@@ -1,36 +1,36 @@
-//! The path of one request, put together from the log lines of all nodes.
+//! The path of one request through the nodes, reconstructed from their log lines.
 
 use serde_json::{Map, Value};
 
-/// Fields that are shown in front of a step, or that say nothing about it.
-const LEFT_OUT: &[&str] = &["timestamp", "level", "message", "id"];
+/// Fields that are not part of a step's detail: they are shown before it, or not at all.
+const EXCLUDED_FIELDS: &[&str] = &["timestamp", "level", "message", "id"];
 
-/// One line that touches the request.
+/// One log line about the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step {
-    /// When, as the node's clock had it.
+    /// Time by the node's clock.
     pub timestamp: String,
-    /// Where the line came from: the text in front of the JSON object, or the file.
+    /// Origin of the line: the text before the JSON object, or else the file.
     pub source: String,
-    /// The call made for the request, when the step belongs to one; empty for the request itself.
+    /// The call made for the request to which the step belongs; empty for the request itself.
     pub call: String,
-    /// What was decided.
+    /// What happened or was decided.
     pub message: String,
-    /// The inputs of the decision and its outcome, as `name=value`.
+    /// The other fields, as `name=value`: inputs of a decision and its outcome.
     pub detail: String,
 }
 
-/// The steps of the request `id` and of the calls made for it, in the order of the nodes' clocks.
-/// `lines` come with the name of their file; what is no JSON object is passed over.
+/// The steps of the request `id` and of the calls made for it, ordered by the nodes' clocks.
+/// `lines` are pairs of file name and line; lines without a JSON object are skipped.
 pub fn steps<'a>(id: &str, lines: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<Step> {
-    let mut found: Vec<Step> = lines
+    let mut steps: Vec<Step> = lines
         .filter_map(|(file, line)| step(id, file, line))
         .collect();
-    found.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
-    found
+    steps.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
+    steps
 }
 
-/// The steps as text, one a line.
+/// The steps as text, one per line.
 pub fn to_text(steps: &[Step]) -> String {
     let mut text = String::new();
     for step in steps {
@@ -50,7 +50,7 @@
 fn step(id: &str, file: &str, line: &str) -> Option<Step> {
     let start = line.find('{')?;
     let fields: Map<String, Value> = serde_json::from_str(&line[start..]).ok()?;
-    let call = belongs(id, fields.get("id")?.as_str()?)?;
+    let call = call_of(id, fields.get("id")?.as_str()?)?;
     let prefix = line[..start].trim();
     let source = if prefix.is_empty() { file } else { prefix };
     Some(Step {
@@ -62,9 +62,10 @@
     })
 }
 
-/// What is added to `id` in the identity of a line: nothing for the request itself.
-fn belongs<'a>(id: &str, found: &'a str) -> Option<&'a str> {
-    let rest = found.strip_prefix(id)?;
+/// The suffix that `line_id` adds to `id`, which names a call made for the request; empty for the
+/// request itself, and none for other requests.
+fn call_of<'a>(id: &str, line_id: &'a str) -> Option<&'a str> {
+    let rest = line_id.strip_prefix(id)?;
     if rest.is_empty() {
         return Some("");
     }
@@ -79,7 +80,7 @@
 fn detail(fields: &Map<String, Value>) -> String {
     let shown = fields
         .iter()
-        .filter(|(name, _)| !LEFT_OUT.contains(&name.as_str()))
+        .filter(|(name, _)| !EXCLUDED_FIELDS.contains(&name.as_str()))
         .map(|(name, value)| match value.as_str() {
             Some(text) => format!("{name}={text}"),
             None => format!("{name}={value}"),
--- a/components/explain/tests/accounts.rs
+++ b/components/explain/tests/accounts.rs
@@ -1,11 +1,12 @@
-//! The share of an account in a home node's lines, from the line as a node writes it to the steps of a request.
+//! What an account has running and queued, from the log line of a home duty to the steps of a
+//! request.
 
 use home::{AccountLoad, Load, Reason};
 use names::{AttemptId, BootId, Name};
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
-/// Keeps what is written.
+/// Writer that keeps the lines in memory.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
@@ -19,7 +20,7 @@
     }
 }
 
-fn decided(id: &str, reason: Option<Reason>, account: Option<(&Name, AccountLoad)>) {
+fn log_decision(id: &str, reason: Option<Reason>, account: Option<(&Name, AccountLoad)>) {
     let attempt = AttemptId {
         boot: BootId(9),
         seq: 1,
@@ -35,8 +36,8 @@
 }
 
 #[test]
-fn the_steps_of_a_request_show_what_its_account_runs_and_has_waiting() {
-    // Guards against a refusal in favour of another account that can't be told from one for lack of slots.
+fn steps_show_what_the_account_has_running_and_queued() {
+    // A refusal in favour of another account must be distinguishable from one for lack of slots.
     let lines = Lines::default();
     let writer = lines.clone();
     let subscriber = tracing_subscriber::fmt()
@@ -47,13 +48,13 @@
         .with_writer(move || writer.clone())
         .finish();
     tracing::subscriber::with_default(subscriber, || {
-        let busy = Name::from("clinic");
+        let account = Name::from("clinic");
         let account_load = AccountLoad {
             running: 5,
             queued: 27,
         };
-        decided("r1", Some(Reason::Busy), Some((&busy, account_load)));
-        decided("r2", None, None);
+        log_decision("r1", Some(Reason::Busy), Some((&account, account_load)));
+        log_decision("r2", None, None);
     });
     let written = lines.0.lock().expect("no writer panics").clone();
     let text = String::from_utf8(written).expect("lines are text");
--- a/components/logs/src/buffer.rs
+++ b/components/logs/src/buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer between the process and whoever reads its lines.
+//! The buffer between the process and the reader of its log.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Longest wait of [`Buffer::close`] for a reader that may have stopped reading.
+/// Maximum wait of [`Buffer::close`] for a write; the reader may have stopped reading.
 const CLOSE_WAIT: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
@@ -15,33 +15,33 @@
     writing: bool,
     closed: bool,
     dropped: u64,
-    dropped_unsaid: u64,
+    dropped_unreported: u64,
 }
 
-/// Lines that wait to be written.
+/// Lines that are waiting to be written.
 #[derive(Debug)]
 pub struct Buffer {
-    most: usize,
+    max_bytes: usize,
     inner: Mutex<Inner>,
     changed: Condvar,
 }
 
 impl Buffer {
-    /// An empty buffer of at most `most` bytes.
-    pub fn new(most: usize) -> Buffer {
+    /// An empty buffer of at most `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> Buffer {
         Buffer {
-            most,
+            max_bytes,
             inner: Mutex::default(),
             changed: Condvar::new(),
         }
     }
 
-    /// Puts a line in, or drops and counts it when there is no room. Never waits for a reader.
+    /// Appends a line, or drops and counts it when the buffer is full. Never waits for a reader.
     pub fn put(&self, line: &[u8]) {
         let mut inner = self.lock();
-        if inner.lines.len() + line.len() > self.most {
+        if inner.lines.len() + line.len() > self.max_bytes {
             inner.dropped += 1;
-            inner.dropped_unsaid += 1;
+            inner.dropped_unreported += 1;
             return;
         }
         let was_empty = inner.lines.is_empty();
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Lines dropped so far.
+    /// Number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.lock().dropped
     }
 
-    /// Starts the thread that writes the lines to `out`, at most once in `every`.
-    pub fn write_to(self: Arc<Buffer>, out: impl Write + Send + 'static, every: Duration) {
+    /// Starts the thread that writes the lines to `out`, with a pause of `interval` after each write.
+    pub fn write_to(self: Arc<Buffer>, out: impl Write + Send + 'static, interval: Duration) {
         let started = thread::Builder::new()
             .name("logs".to_string())
-            .spawn(move || self.write(out, every));
+            .spawn(move || self.write(out, interval));
         if let Err(error) = started {
-            eprintln!("no thread for the log: {error}");
+            eprintln!("failed to start the log thread: {error}");
         }
     }
 
-    /// Ends the writing once all lines are out, or after a short wait.
+    /// Waits until all lines are written, for a limited time, and stops the writing thread.
     pub fn close(&self) {
         let mut inner = self.lock();
         inner.closed = true;
@@ -81,22 +81,23 @@
         }
     }
 
-    fn write(&self, mut out: impl Write, every: Duration) {
+    fn write(&self, mut out: impl Write, interval: Duration) {
         while let Some(lines) = self.take() {
             let written = out.write_all(&lines).and_then(|()| out.flush());
             self.lock().writing = false;
             self.changed.notify_all();
             if written.is_err() {
-                // Nobody will ever read: lines are dropped from now on, and counted.
+                // The output is closed for good: once the buffer is full, lines are dropped and
+                // counted.
                 return;
             }
             if !self.lock().closed {
-                thread::sleep(every);
+                thread::sleep(interval);
             }
         }
     }
 
-    /// Waits for lines; none when the buffer is closed and empty.
+    /// Waits for lines and takes them; none when the buffer is closed and empty.
     fn take(&self) -> Option<Vec<u8>> {
         let mut inner = self.lock();
         while inner.lines.is_empty() {
@@ -110,12 +111,12 @@
         }
         inner.writing = true;
         let mut lines = std::mem::take(&mut inner.lines);
-        let dropped = std::mem::take(&mut inner.dropped_unsaid);
+        let dropped = std::mem::take(&mut inner.dropped_unreported);
         if dropped > 0 {
-            let said = format!(
+            let report = format!(
                 "{{\"level\":\"WARN\",\"message\":\"log lines dropped\",\"count\":{dropped}}}\n"
             );
-            lines.extend_from_slice(said.as_bytes());
+            lines.extend_from_slice(report.as_bytes());
         }
         Some(lines)
     }
@@ -125,7 +126,7 @@
     }
 }
 
-/// Makes the lines of `tracing` go into a buffer.
+/// Writer for `tracing` that appends to a buffer.
 #[derive(Debug, Clone)]
 pub struct Writer {
     buffer: Arc<Buffer>,
--- a/components/logs/src/lib.rs
+++ b/components/logs/src/lib.rs
@@ -1,7 +1,8 @@
-//! Log lines on standard output that never hold the process up.
+//! Logging to standard output that never blocks the process.
 //!
-//! Lines go into a buffer of fixed size; a thread of its own writes it out. When nobody reads, the
-//! buffer fills up and further lines are dropped and counted. [`Limiter`] bounds each kind of line.
+//! Lines go into a buffer of fixed size, which a separate thread writes out. If the reader stops
+//! reading, the buffer fills up; further lines are dropped and counted. [`Limiter`] limits the rate
+//! of each kind of line.
 
 mod buffer;
 mod limiter;
@@ -13,17 +14,17 @@
 use std::time::Duration;
 use tracing_subscriber::EnvFilter;
 
-/// Bytes of lines that may wait to be written.
+/// Size of the buffer of lines that are waiting to be written.
 const BUFFER_BYTES: usize = 128 * 1024;
-/// Lines are written together, this often at most: a write for each line would cost more than the
-/// line.
-const WRITE_EVERY: Duration = Duration::from_millis(50);
+/// Pause between writes. Lines are written in batches, because a write for each line would cost more
+/// than producing the line.
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Starts logging lines of `level` and above to standard output; `json` gives one object a line.
-/// Returns the buffer, which has to be closed before the process ends.
+/// Starts logging lines of `level` and above to standard output; `json` selects one JSON object per
+/// line. Returns the buffer, which must be closed before the process exits.
 pub fn start(level: &str, json: bool) -> Arc<Buffer> {
     let buffer = Arc::new(Buffer::new(BUFFER_BYTES));
-    buffer.clone().write_to(std::io::stdout(), WRITE_EVERY);
+    buffer.clone().write_to(std::io::stdout(), WRITE_INTERVAL);
     let builder = tracing_subscriber::fmt()
         .with_env_filter(EnvFilter::new(level))
         .with_ansi(false)
--- a/components/operator/src/change.rs
+++ b/components/operator/src/change.rs
@@ -1,13 +1,13 @@
-//! Carries out the decisions of [`rollout::Apply`] against the platform.
+//! Performs the actions of [`rollout::Apply`] on the platform.
 
 use platform::{Client, WriteOutcome};
 use rollout::{content_key, Apply, ApplyAction, ApplyEvent, ApplyOutcome, Plan, HEAD_KEY};
 use std::time::Duration;
 
 /// Pause after a call without an answer.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Brings a change in; gives up as unknown after `tries` calls without an answer.
+/// Applies a change; the outcome is unknown after `tries` calls without an answer.
 pub async fn apply(client: &Client, plan: Plan, tries: u32) -> ApplyOutcome {
     let mut apply = Apply::new(plan, tries);
     let mut event = ApplyEvent::Begin;
@@ -17,7 +17,7 @@
             action => perform(client, action).await,
         };
         if event == ApplyEvent::NoAnswer {
-            async_std::task::sleep(PAUSE).await;
+            async_std::task::sleep(RETRY_PAUSE).await;
         }
     }
 }
--- a/components/operator/src/lib.rs
+++ b/components/operator/src/lib.rs
@@ -1,4 +1,5 @@
-//! What operators do: read what is in force, bring a change in, look at nodes.
+//! Operators' actions: reading the revision in force, applying a change, querying and controlling
+//! nodes.
 
 mod change;
 mod nodes;
--- a/components/operator/src/nodes.rs
+++ b/components/operator/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Talking to nodes at their operators' addresses.
+//! Calls to nodes at their operators' addresses.
 
 use async_std::future::timeout;
 use async_std::net::TcpStream;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Longest wait for a node.
+/// Timeout of a call to a node.
 const NODE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The part of a node's state that operators' tools read.
@@ -22,44 +22,45 @@
     pub revision: u64,
     /// Version of the platform's list.
     pub list_version: u64,
-    /// The store's era; none where it tells none.
+    /// The store's era; none where the store reports none.
     #[serde(default)]
     pub store_era: Option<u64>,
-    /// The store's revision up to which the node read the declarations in that era; none when it is not known.
+    /// The store's revision up to which the node has read the declarations in that era; none when
+    /// it is not known.
     #[serde(default)]
     pub store_revision: Option<u64>,
-    /// Whether the platform answered the node last time.
+    /// Whether the platform answered the node's last call.
     pub platform_reachable: bool,
-    /// Whether the upstream takes no new work.
+    /// Whether the upstream is draining: it gets no new work.
     pub leaving: bool,
     /// Attempts running.
     pub in_flight: u32,
     /// Attempts queued.
     pub queued: u32,
-    /// Attempts that may run at once.
+    /// Maximum of concurrent attempts.
     pub limit: u32,
-    /// Requests that no upstream sees.
+    /// Quarantined requests, which no upstream receives.
     #[serde(default)]
     pub held: Vec<QuarantinedRequest>,
 }
 
-/// A request that an operator frees, and the entry in the audit trail.
+/// The release of a request from quarantine by an operator, with the data for the audit trail.
 #[derive(Debug, Clone, Serialize)]
 pub struct Release {
     /// The request's fingerprint, as log lines name it.
     pub fingerprint: String,
-    /// Who frees it.
+    /// Who releases it.
     pub who: String,
     /// Why.
     pub why: String,
 }
 
-/// A request that the nodes hold.
+/// A quarantined request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
     /// The request's fingerprint.
     pub fingerprint: String,
-    /// Ends of upstreams under it that the node knows of.
+    /// Number of known terminations of upstreams that were processing it.
     pub ends: u32,
 }
 
@@ -69,14 +70,14 @@
     serde_json::from_slice(&bytes).map_err(|error| Error::new(Step::Operators, address, error))
 }
 
-/// Makes the upstream beside the node take no new work, or take it again.
+/// Drains the upstream of the node at `address`, or ends the drain.
 pub async fn drain(address: &str, fleet_key: &str, drained: bool) -> Result<()> {
     let path = if drained { "/drain" } else { "/undrain" };
     call(address, Method::Post, path, Some(fleet_key), Vec::new()).await?;
     Ok(())
 }
 
-/// Frees a request that the nodes hold, through the node at `address`; returns what it made of it.
+/// Releases a request from quarantine through the node at `address`; returns the node's answer.
 pub async fn release(address: &str, fleet_key: &str, release: &Release) -> Result<String> {
     let body =
         serde_json::to_vec(release).map_err(|error| Error::new(Step::Operators, address, error))?;
@@ -84,7 +85,7 @@
     Ok(String::from_utf8_lossy(&bytes).trim().to_string())
 }
 
-/// Hands a node a revision that the platform has accepted; returns what the node made of it.
+/// Sends a node a revision that the platform has accepted; returns the node's answer.
 pub async fn push(address: &str, fleet_key: &str, configuration: &Configuration) -> Result<String> {
     let body = wire::encode_message(configuration);
     let bytes = call(
@@ -105,10 +106,10 @@
     fleet_key: Option<&str>,
     body: Vec<u8>,
 ) -> Result<Vec<u8>> {
-    let fail = |error: String| Error::new(Step::Operators, address, error);
+    let call_error = |error: String| Error::new(Step::Operators, address, error);
     let exchange = async {
         let url = Url::parse(&format!("http://{address}{path}"))
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|error| call_error(error.to_string()))?;
         let mut req = Request::new(method, url);
         if let Some(key) = fleet_key {
             req.insert_header("authorization", format!("Bearer {key}"));
@@ -117,20 +118,20 @@
         req.set_body(body);
         let stream = TcpStream::connect(address)
             .await
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|error| call_error(error.to_string()))?;
         let mut res = async_h1::client::connect(stream, req)
             .await
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|error| call_error(error.to_string()))?;
         let bytes = res
             .body_bytes()
             .await
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|error| call_error(error.to_string()))?;
         if !res.status().is_success() {
-            return Err(fail(format!("status {}", res.status())));
+            return Err(call_error(format!("status {}", res.status())));
         }
         Ok(bytes)
     };
     timeout(NODE_TIMEOUT, exchange)
         .await
-        .map_err(|_| fail("no answer in time".to_string()))?
+        .map_err(|_| call_error("no answer within the timeout".to_string()))?
 }
--- a/components/operator/src/read.rs
+++ b/components/operator/src/read.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The head in force; none when there is no revision yet.
+/// The head in force; none before the first revision.
 pub async fn head(client: &Client) -> Result<Option<Head>> {
     let Some(object) = client.read(HEAD_KEY).await? else {
         return Ok(None);
@@ -31,15 +31,15 @@
     })
 }
 
-/// The heads from the one in force backwards, at most `most`.
-pub async fn history(client: &Client, most: usize) -> Result<Vec<Head>> {
+/// The newest heads, starting with the one in force; at most `max`.
+pub async fn history(client: &Client, max: usize) -> Result<Vec<Head>> {
     let mut heads = Vec::new();
     let mut next = head(client).await?;
     while let Some(head) = next {
         let previous = head.previous.clone();
         heads.push(head);
         next = match previous {
-            Some(digest) if heads.len() < most => {
+            Some(digest) if heads.len() < max => {
                 let bytes = content(client, &digest).await?;
                 Some(parse(&digest.0, &bytes)?)
             }
--- a/components/platform/src/client.rs
+++ b/components/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! Client of the object API.
 
 use async_std::future::timeout;
 use async_std::net::TcpStream;
@@ -8,11 +8,11 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Longest wait for the answer to a plain call.
+/// Timeout of a call that is not a watch, and of reading a value.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time beyond a watch's own wait after which its answer is taken as lost.
-const WATCH_SLACK: Duration = Duration::from_secs(2);
-/// Largest value, in bytes.
+/// Time beyond a watch's own wait after which the call times out.
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Maximum size of a value.
 const MAX_VALUE_BYTES: usize = 1024 * 1024;
 /// Header that carries an object's version.
 const VERSION_HEADER: &str = "object-version";
@@ -20,13 +20,13 @@
 /// A value with its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// Rises with each write of the key.
+    /// Increases with each write of the key.
     pub version: u64,
     /// The value.
     pub value: Vec<u8>,
 }
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It took effect.
@@ -35,11 +35,11 @@
     Conflict,
 }
 
-/// A client that knows one or more addresses of the platform.
+/// A client that uses the platform's addresses in turn.
 #[derive(Debug)]
 pub struct Client {
     addresses: Vec<SocketAddr>,
-    next: AtomicUsize,
+    next_address: AtomicUsize,
     calls: AtomicU64,
     failures: AtomicU64,
 }
@@ -49,43 +49,43 @@
     pub fn new(addresses: Vec<SocketAddr>) -> Client {
         Client {
             addresses,
-            next: AtomicUsize::new(0),
+            next_address: AtomicUsize::new(0),
             calls: AtomicU64::new(0),
             failures: AtomicU64::new(0),
         }
     }
 
-    /// Calls made so far.
+    /// Number of calls since the start.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Calls that got no usable answer.
+    /// Number of calls without a usable answer.
     pub fn failures(&self) -> u64 {
         self.failures.load(Ordering::Relaxed)
     }
 
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; `None` if it does not exist.
     pub async fn read(&self, key: &str) -> Result<Option<Object>> {
         self.get(&format!("/v1/objects/{key}"), CALL_TIMEOUT).await
     }
 
-    /// Waits up to `wait` for a version of the object later than `after`; `None` when none came.
+    /// Waits up to `wait` for a version of the object later than `after`; `None` if there is none.
     pub async fn watch(&self, key: &str, after: u64, wait: Duration) -> Result<Option<Object>> {
         let path = format!(
             "/v1/objects/{key}?after={after}&wait_ms={}",
             wait.as_millis()
         );
-        self.get(&path, wait + WATCH_SLACK).await
+        self.get(&path, wait + WATCH_TIMEOUT_MARGIN).await
     }
 
-    /// Waits up to `wait` for a list of VMs later than version `after`; `None` when none came.
+    /// Waits up to `wait` for a list of VMs later than version `after`; `None` if there is none.
     pub async fn watch_vms(&self, after: u64, wait: Duration) -> Result<Option<Object>> {
         let path = format!("/v1/vms?after={after}&wait_ms={}", wait.as_millis());
-        self.get(&path, wait + WATCH_SLACK).await
+        self.get(&path, wait + WATCH_TIMEOUT_MARGIN).await
     }
 
-    /// Writes an object if it has version `version`; `None`: if it does not exist.
+    /// Writes an object if it has version `version`, or with `None` if it does not exist.
     pub async fn write(
         &self,
         key: &str,
@@ -94,10 +94,7 @@
     ) -> Result<WriteOutcome> {
         let path = format!("/v1/objects/{key}");
         if value.len() > MAX_VALUE_BYTES {
-            let cause = format!(
-                "{} bytes; a value has at most {MAX_VALUE_BYTES}",
-                value.len()
-            );
+            let cause = format!("{} bytes; the maximum is {MAX_VALUE_BYTES}", value.len());
             return Err(Error::new(Step::Platform, key, cause));
         }
         let mut req = self.request(Method::Put, &path)?;
@@ -110,29 +107,41 @@
         match res.status() {
             StatusCode::Ok | StatusCode::Created => Ok(WriteOutcome::Written),
             StatusCode::PreconditionFailed => Ok(WriteOutcome::Conflict),
-            status => Err(self.refused(&path, status)),
+            status => Err(self.unexpected_status(&path, status)),
         }
     }
 
-    async fn get(&self, path: &str, limit: Duration) -> Result<Option<Object>> {
+    async fn get(&self, path: &str, call_timeout: Duration) -> Result<Option<Object>> {
         let req = self.request(Method::Get, path)?;
-        let mut res = self.call(req, limit).await?;
+        let mut res = self.call(req, call_timeout).await?;
         match res.status() {
             StatusCode::Ok => {}
             StatusCode::NotFound | StatusCode::NotModified => return Ok(None),
-            status => return Err(self.refused(path, status)),
+            status => return Err(self.unexpected_status(path, status)),
         }
         let version = res
             .header(VERSION_HEADER)
             .and_then(|values| values.last().as_str().parse().ok())
-            .ok_or_else(|| Error::new(Step::Platform, path, "no object version"))?;
+            .ok_or_else(|| {
+                Error::new(
+                    Step::Platform,
+                    path,
+                    "the header Object-Version is missing or invalid",
+                )
+            })?;
         let declared = res.len();
         let value = timeout(CALL_TIMEOUT, res.body_bytes())
             .await
-            .map_err(|_| Error::new(Step::Platform, path, "the value did not arrive in time"))?
+            .map_err(|_| {
+                Error::new(
+                    Step::Platform,
+                    path,
+                    "the value was not received within the timeout",
+                )
+            })?
             .map_err(|error| Error::new(Step::Platform, path, error))?;
         if declared != Some(value.len()) {
-            return Err(Error::new(Step::Platform, path, "the value was cut off"));
+            return Err(Error::new(Step::Platform, path, "the value is incomplete"));
         }
         Ok(Some(Object { version, value }))
     }
@@ -143,21 +152,25 @@
         Ok(Request::new(method, url))
     }
 
-    async fn call(&self, req: Request, limit: Duration) -> Result<Response> {
+    async fn call(&self, req: Request, call_timeout: Duration) -> Result<Response> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let result = self.call_once(req, limit).await;
+        let result = self.call_once(req, call_timeout).await;
         if result.is_err() {
             self.failures.fetch_add(1, Ordering::Relaxed);
         }
         result
     }
 
-    async fn call_once(&self, mut req: Request, limit: Duration) -> Result<Response> {
+    async fn call_once(&self, mut req: Request, call_timeout: Duration) -> Result<Response> {
         if self.addresses.is_empty() {
-            return Err(Error::new(Step::Platform, "-", "no address is set"));
+            return Err(Error::new(
+                Step::Platform,
+                "-",
+                "no platform address is configured",
+            ));
         }
-        let turn = self.next.fetch_add(1, Ordering::Relaxed);
-        let address = self.addresses[turn % self.addresses.len()];
+        let index = self.next_address.fetch_add(1, Ordering::Relaxed);
+        let address = self.addresses[index % self.addresses.len()];
         req.insert_header("connection", "close");
         let exchange = async {
             let stream = TcpStream::connect(address)
@@ -167,12 +180,12 @@
                 .await
                 .map_err(|error| Error::new(Step::Platform, address, error))
         };
-        timeout(limit, exchange)
+        timeout(call_timeout, exchange)
             .await
-            .map_err(|_| Error::new(Step::Platform, address, "no answer in time"))?
+            .map_err(|_| Error::new(Step::Platform, address, "no answer within the timeout"))?
     }
 
-    fn refused(&self, path: &str, status: StatusCode) -> Error {
+    fn unexpected_status(&self, path: &str, status: StatusCode) -> Error {
         self.failures.fetch_add(1, Ordering::Relaxed);
         Error::new(Step::Platform, path, format!("status {status}"))
     }
--- a/components/platform/src/store.rs
+++ b/components/platform/src/store.rs
@@ -1,5 +1,5 @@
-//! The store of a platform whose nodes register: objects by kind and name, with revisions,
-//! conditional writes and watches. An adapter speaks the platform's own words behind it.
+//! The store of a platform on which nodes register: objects by kind and name, with revisions,
+//! conditional writes and watches. An adapter implements it with the platform's own API.
 
 use declarations::Bundle;
 use era::{Era, Position};
@@ -10,10 +10,10 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// The end of a call to the store.
+/// The result of a call to the store.
 pub type StoreCall<'a, T> = Pin<Box<dyn Future<Output = Result<T>> + 'a>>;
 
-/// An object as it stands in the store.
+/// An object of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredObject {
     /// Its name within its kind.
@@ -24,51 +24,52 @@
     pub value: Vec<u8>,
 }
 
-/// How new an answer has to be.
+/// How recent an answer must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// As of now.
+    /// The current state.
     Latest,
-    /// It may be seconds old, and costs the platform less: for what other nodes put right. A watch must
-    /// not begin at its revision.
+    /// The answer may be seconds old and costs the platform less. For state that other nodes correct.
+    /// A watch must not start at the revision of such an answer.
     MayLag,
 }
 
 /// All objects of a kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// Where the store stood when they were listed.
+    /// Position of the store at which they were listed.
     pub at: Position,
     /// The objects.
     pub objects: Vec<StoredObject>,
 }
 
-/// What came of a watch.
+/// Outcome of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchOutcome {
     /// Changes, in their order; none when the wait is over.
     Changes {
-        /// Where the next watch begins.
+        /// Position at which the next watch starts.
         at: Position,
         /// Objects that were written.
         changed: Vec<StoredObject>,
-        /// Objects that were there and are no more.
+        /// Objects that were removed.
         removed: Vec<Name>,
     },
-    /// The store no longer knows what changed since; all objects have to be listed again.
+    /// The store no longer has the changes since that revision; all objects must be listed again.
     HistoryLost,
 }
 
-/// What came of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It took effect, at this place.
+    /// It took effect, at this position.
     Written(Position),
-    /// The condition did not hold: the object as it stands, or none when it doesn't exist.
+    /// The condition did not hold; the current object, or none if it doesn't exist.
     Conflict(Option<StoredObject>),
 }
 
-/// A store. Every call has a time limit of its own, and fails if its answer is of an earlier era than is known.
+/// A store. Every call has its own timeout, and fails if its answer is of an earlier era than the
+/// known one.
 pub trait Store {
     /// Lists all objects of a kind.
     fn list<'a>(&'a self, kind: &'a str, consistency: Consistency) -> StoreCall<'a, Listing>;
@@ -89,48 +90,50 @@
     ) -> StoreCall<'a, PutOutcome>;
     /// Removes an object.
     fn remove<'a>(&'a self, kind: &'a str, name: &'a str) -> StoreCall<'a, ()>;
-    /// The highest era that an answer or another node told of; none where the store tells none.
+    /// The highest era that an answer or another node has reported; none where the store reports
+    /// none.
     fn era(&self) -> Option<Era>;
-    /// Another node told of `era`: answers of an earlier one are errors from now on.
+    /// Takes note of an era that another node reported: answers of an earlier one are errors from
+    /// now on.
     fn observe_era(&self, era: Era);
-    /// Calls made so far.
+    /// Number of calls since the start.
     fn calls(&self) -> u64;
-    /// Answers of which a part has come, and the end has not.
+    /// Number of answers of which a part has been received, but not the end.
     fn partial_answers(&self) -> u32;
-    /// Whether one of them is about objects of a kind.
+    /// Whether one of these answers is about objects of a kind.
     fn has_partial_answer(&self, kind: &str) -> bool;
 }
 
-/// What an upstream tells the node beside it.
+/// What an upstream reports to its local node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Registration {
-    /// It runs.
+    /// The upstream is running.
     Heartbeat(Heartbeat),
-    /// This start ends soon.
+    /// This incarnation is about to exit.
     Departure(Incarnation),
 }
 
-/// Declarations as the platform's operators write them.
+/// Declarations that the platform's operators have written, in translated form.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TranslatedDeclarations {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// The same in this product's own form.
+    /// The declarations in this product's form.
     pub bundle: Bundle,
 }
 
-/// Translates between a platform's words and the product's. Decides nothing.
+/// Translates between a platform's formats and this product's. Makes no decisions.
 pub trait Adapter {
     /// The platform's store.
     fn store(&self) -> &dyn Store;
-    /// Kind and name of the object that holds the operators' declarations.
+    /// Kind and name of the object with the operators' declarations.
     fn declarations(&self) -> (&str, &str);
-    /// Translates that object; an error names what is wrong with it.
+    /// Translates that object; the error describes what is invalid.
     fn translate(&self, value: &[u8]) -> Result<TranslatedDeclarations>;
-    /// Kind of the objects by which operators evacuate data halls; each is named as its hall.
+    /// Kind of the objects by which operators evacuate data halls; each has the name of its hall.
     fn evacuation_kind(&self) -> &str;
     /// Kind of the objects in which nodes keep their records.
     fn record_kind(&self) -> &str;
-    /// Reads what an upstream sent to its node; an error names what is wrong with it.
+    /// Parses what an upstream sent to its local node; the error describes what is invalid.
     fn registration(&self, method: &str, target: &str, body: &[u8]) -> Result<Registration>;
 }
