--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `drumwheel-node`: one beside each upstream VM, with entry and home duty.
+//! `drumwheel-node`: the process that runs next to each upstream, with entry and home duty.
 
 use bpaf::Bpaf;
 use platform::Adapter;
@@ -6,32 +6,35 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A node of drumwheel: takes callers' requests and guards the upstream beside it.
+/// A node of drumwheel: accepts callers' requests and controls the load of its local upstream.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 struct Args {
-    /// Check the settings, report every problem, and exit: 0 when there is none, 2 otherwise
+    /// Check the settings, report all problems and exit: 0 if there are none, 2 otherwise
     check: bool,
-    /// The settings file; without it, the file that the variable DRUMWHEEL_CONFIG names
+    /// Settings file; by default, the file that the environment variable DRUMWHEEL_CONFIG names
     #[bpaf(positional("SETTINGS"))]
     settings: Option<PathBuf>,
 }
 
-/// Names the settings file when the command line does not.
+/// Environment variable with the path of the settings file, used if the command line gives none.
 const SETTINGS_VARIABLE: &str = "DRUMWHEEL_CONFIG";
-/// Exit code for settings that do not pass the check.
+/// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
-    // Only an `Expect: 100-continue` to the operators' door makes the HTTP library start its own
-    // executor. The environment may be changed only while there is no other thread.
+    // Limits the executor of the HTTP library to one thread. Only a request with
+    // `Expect: 100-continue` to the operators' address makes the library start it. The environment
+    // may be changed only while there is no other thread.
     std::env::set_var("ASYNC_STD_THREAD_COUNT", "1");
     let args = args().run();
-    let named = args
+    let file = args
         .settings
         .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
-    let Some(file) = named else {
-        eprintln!("drumwheel-node: no settings file: give it, or name it in {SETTINGS_VARIABLE}");
+    let Some(file) = file else {
+        eprintln!(
+            "drumwheel-node: no settings file: give it as an argument or set {SETTINGS_VARIABLE}"
+        );
         return ExitCode::from(BAD_SETTINGS);
     };
     let cfg = match Settings::load(&file) {
@@ -46,13 +49,13 @@
         return ExitCode::SUCCESS;
     }
     let log = logs::start(&cfg.log_level, cfg.log_format == LogFormat::Json);
-    let ended = daemon::run(
+    let result = daemon::run(
         cfg.clone(),
         adapter(&cfg),
         Box::new(move || Settings::load(&file)),
     );
     log.close();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("drumwheel-node: {error}");
@@ -61,7 +64,7 @@
     }
 }
 
-/// The adapter for the platform that the settings name.
+/// The adapter for the configured platform; none if the VMs are listed rather than registered.
 fn adapter(cfg: &Settings) -> Option<Box<dyn Adapter>> {
     match cfg.fleet {
         FleetSource::Listed => None,
--- a/node/tests/node/doors.rs
+++ b/node/tests/node/doors.rs
@@ -1,6 +1,6 @@
-//! Bad input at the callers' and the peers' door: a clear refusal, and the node lives.
+//! Invalid input at the callers' and the peers' address: it is rejected, and the node keeps running.
 
-use crate::fleet::{connect, header, read_all, Beside, Fleet};
+use crate::fleet::{connect, header, read_all, Fleet, UpstreamKind};
 use std::io::Write;
 
 /// Name of the case, bytes of the request, expected status.
@@ -67,8 +67,8 @@
 ];
 
 #[test]
-fn a_malformed_request_is_refused_as_not_run_and_the_node_serves_on() {
-    let fleet = Fleet::start("doors", Beside::Upstream(0));
+fn malformed_request_is_rejected_as_not_run_and_the_node_keeps_serving() {
+    let fleet = Fleet::start("doors", UpstreamKind::Working(0));
     for (name, bytes, status) in BAD_REQUESTS {
         let response = fleet.raw(fleet.callers, bytes.as_bytes());
         let expected = format!("HTTP/1.1 {status}");
@@ -91,23 +91,23 @@
 }
 
 #[test]
-fn a_body_that_is_cut_off_is_not_run() {
-    let fleet = Fleet::start("cut-body", Beside::Upstream(0));
+fn request_with_a_truncated_body_is_not_run() {
+    let fleet = Fleet::start("cut-body", UpstreamKind::Working(0));
     let mut stream = connect(fleet.callers);
     stream
         .write_all(b"POST / HTTP/1.1\r\nHost: one.example\r\nContent-Length: 10\r\n\r\nabc")
-        .expect("it is taken");
+        .expect("the request is sent");
     stream
         .shutdown(std::net::Shutdown::Write)
-        .expect("half a close");
+        .expect("the write side is closed");
     let response = read_all(&mut stream);
     assert!(response.starts_with("HTTP/1.1 400"), "{response}");
     assert_eq!(fleet.metric("drumwheel_started"), 0.0);
 }
 
 #[test]
-fn requests_sent_one_behind_the_other_each_get_their_own_answer() {
-    let fleet = Fleet::start("pipeline", Beside::Upstream(1_000));
+fn pipelined_requests_are_answered_in_order() {
+    let fleet = Fleet::start("pipeline", UpstreamKind::Working(1_000));
     let mut text = String::new();
     for (id, close) in [
         ("first", ""),
@@ -120,18 +120,18 @@
         );
     }
     let response = fleet.raw(fleet.callers, text.as_bytes());
-    let places: Vec<Option<usize>> = ["first;", "second", "third;"]
+    let positions: Vec<Option<usize>> = ["first;", "second", "third;"]
         .iter()
         .map(|body| response.find(body))
         .collect();
-    assert!(places.iter().all(Option::is_some), "{response}");
-    assert!(places.is_sorted(), "{response}");
+    assert!(positions.iter().all(Option::is_some), "{response}");
+    assert!(positions.is_sorted(), "{response}");
     assert_eq!(response.matches("HTTP/1.1 200").count(), 3, "{response}");
 }
 
 #[test]
-fn a_host_or_path_that_is_not_declared_is_not_run() {
-    let fleet = Fleet::start("unknown-host", Beside::Upstream(0));
+fn request_for_an_undeclared_host_is_not_run() {
+    let fleet = Fleet::start("unknown-host", UpstreamKind::Working(0));
     let response = fleet.raw(
         fleet.callers,
         b"GET / HTTP/1.1\r\nHost: other.example\r\nConnection: close\r\n\r\n",
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn a_stranger_at_the_peers_door_is_turned_away() {
-    let fleet = Fleet::start("stranger", Beside::Upstream(0));
+fn unauthenticated_connection_to_the_peers_address_is_rejected() {
+    let fleet = Fleet::start("stranger", UpstreamKind::Working(0));
     for bytes in [
         &b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"[..],
         &b"\x00\x01\x02\x03\xff\xff\xff\xff\r\n\r\n"[..],
--- a/node/tests/node/fleet.rs
+++ b/node/tests/node/fleet.rs
@@ -1,4 +1,4 @@
-//! One node with its surroundings, on free ports of the loopback address.
+//! A node with a platform and an upstream, on free ports of the loopback address.
 
 use async_std::net::TcpListener;
 use async_std::task;
@@ -16,9 +16,9 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything to come up.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// First port of these tests.
+/// Maximum wait for anything to start or answer.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// Next port for these tests.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(11_000);
 /// Key of the fleet in these tests.
 pub const FLEET_KEY: &str = "key-of-a-fleet-in-tests";
@@ -36,44 +36,44 @@
 ";
 const POLICY: &str = "#{ repeatable: method == \"GET\", deadline_ms: 5000 }";
 
-/// What stands where the upstream should.
-pub enum Beside {
-    /// The stand-in with the given service time in microseconds.
-    Upstream(u64),
-    /// A socket that answers every request with these bytes and closes.
-    Bytes(Vec<u8>),
+/// What listens at the upstream's address.
+pub enum UpstreamKind {
+    /// The test double of an upstream, with this service time in microseconds.
+    Working(u64),
+    /// A server that sends these bytes as its answer to every request and closes the connection.
+    Raw(Vec<u8>),
 }
 
-/// A running node.
+/// A running node, with the platform and the upstream that it uses.
 pub struct Fleet {
     node: Child,
-    /// Callers' address.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Peers' address.
+    /// Address for peers.
     pub peers: SocketAddr,
-    /// Operators' address.
+    /// Address for operators.
     pub operators: SocketAddr,
     dir: PathBuf,
 }
 
 impl Fleet {
-    /// Starts everything and waits until the first revision is in force.
-    pub fn start(name: &str, beside: Beside) -> Fleet {
-        Fleet::start_on_slow_platform(name, beside, 0)
+    /// Starts the processes and waits until the first revision is in force.
+    pub fn start(name: &str, upstream_kind: UpstreamKind) -> Fleet {
+        Fleet::start_on_slow_platform(name, upstream_kind, 0)
     }
 
-    /// The same with a platform each of whose answers takes so many milliseconds.
-    pub fn start_on_slow_platform(name: &str, beside: Beside, slow_ms: u64) -> Fleet {
+    /// Like [`Fleet::start`], with a platform that delays each answer by `slow_ms`.
+    pub fn start_on_slow_platform(name: &str, upstream_kind: UpstreamKind, slow_ms: u64) -> Fleet {
         let dir = std::env::temp_dir().join(format!("drumwheel-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a directory for the test");
-        let platform = free();
-        let upstream = free();
-        let (callers, peers, operators) = (free(), free(), free());
+        let platform = free_address();
+        let upstream = free_address();
+        let (callers, peers, operators) = (free_address(), free_address(), free_address());
         task::spawn(Platform::default().app().listen(platform));
-        start_beside(upstream, beside);
-        wait_for(platform);
+        start_upstream(upstream, upstream_kind);
+        wait_until_listening(platform);
         set_vms(platform, peers, operators);
-        apply(platform);
+        apply_declarations(platform);
         control(platform, &format!("slow/{slow_ms}"), "");
         let settings = dir.join("node.ini");
         let text = format!(
@@ -99,14 +99,14 @@
         fleet
     }
 
-    /// Sends raw bytes to an address and returns all that comes back.
+    /// Sends raw bytes to an address and returns everything received until the connection closes.
     pub fn raw(&self, address: SocketAddr, bytes: &[u8]) -> String {
         let mut stream = connect(address);
-        stream.write_all(bytes).expect("the bytes are taken");
+        stream.write_all(bytes).expect("the bytes are sent");
         read_all(&mut stream)
     }
 
-    /// A request on a connection that closes after it.
+    /// Sends a request on a connection of its own and returns the response.
     pub fn request(&self, method: &str, headers: &str, body: &str) -> String {
         let text = format!(
             "{method} / HTTP/1.1\r\nHost: one.example\r\nConnection: close\r\n\
@@ -116,13 +116,13 @@
         self.raw(self.callers, text.as_bytes())
     }
 
-    /// Whether the node serves a plain request.
+    /// Whether the node answers a liveness check.
     pub fn is_alive(&self) -> bool {
         self.raw(self.operators, &get("/livez"))
             .starts_with("HTTP/1.1 200")
     }
 
-    /// A counter or gauge, summed over its labels.
+    /// Value of a counter or gauge, summed over its labels.
     pub fn metric(&self, name: &str) -> f64 {
         self.raw(self.operators, &get("/metrics"))
             .lines()
@@ -131,30 +131,30 @@
             .sum()
     }
 
-    /// Asks the node to stop as planned.
+    /// Starts a planned stop of the node.
     pub fn terminate(&self) {
         let pid = self.node.id().to_string();
         let status = Command::new("kill").args(["-TERM", &pid]).status();
         assert!(status.expect("kill runs").success());
     }
 
-    /// Waits for the node's end; returns whether it ended with success.
+    /// Waits until the node exits; returns whether it exited with success.
     pub fn wait(&mut self) -> bool {
-        self.node.wait().expect("the node ends").success()
+        self.node.wait().expect("the node exits").success()
     }
 
     fn wait_until_ready(&self) {
         let began = Instant::now();
         loop {
-            let up = TcpStream::connect(self.operators).is_ok();
-            if up
+            let is_listening = TcpStream::connect(self.operators).is_ok();
+            if is_listening
                 && self
                     .raw(self.operators, &get("/readyz"))
                     .starts_with("HTTP/1.1 200")
             {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "the node is not ready");
+            assert!(began.elapsed() < TIMEOUT, "the node is not ready");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -168,16 +168,16 @@
     }
 }
 
-/// A connection with a limit on the wait for bytes.
+/// Opens a connection with a read timeout.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
     stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TIMEOUT))
         .expect("a timeout can be set");
     stream
 }
 
-/// Reads to the end of the stream.
+/// Reads until the end of the stream.
 pub fn read_all(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).ok();
@@ -193,15 +193,16 @@
     })
 }
 
-/// A plain `GET`.
+/// The bytes of a `GET` request.
 pub fn get(path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n").into_bytes()
 }
 
-/// A port that no other test of this process gets, below those that the system hands out: a port
-/// that was free a moment ago may otherwise be another test's by now. It is not bound to find out: a
-/// process that another test starts just then would hold the socket until its program is loaded.
-fn free() -> SocketAddr {
+/// An address with a port that no other test of this process gets. Ports are below the range from
+/// which the system assigns them, because a port of that range may be reassigned before it is used.
+/// Whether the port is free is not tested by binding it: a process that another test starts at that
+/// moment would inherit the socket and hold it until its program is loaded.
+fn free_address() -> SocketAddr {
     loop {
         let port = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
         let address = SocketAddr::from(([127, 0, 0, 1], port));
@@ -211,10 +212,10 @@
     }
 }
 
-fn start_beside(address: SocketAddr, beside: Beside) {
+fn start_upstream(address: SocketAddr, kind: UpstreamKind) {
     let listener = task::block_on(TcpListener::bind(address)).expect("a free port");
-    match beside {
-        Beside::Upstream(service_us) => {
+    match kind {
+        UpstreamKind::Working(service_us) => {
             let cfg = upstream::Config {
                 slots: 4,
                 queue: 16,
@@ -229,16 +230,16 @@
             let ledger = Ledger::open(None).expect("no file is opened");
             task::spawn(Upstream::new(cfg, ledger).serve(listener));
         }
-        Beside::Bytes(bytes) => {
+        UpstreamKind::Raw(bytes) => {
             task::spawn(upstream::serve_raw(listener, bytes));
         }
     }
 }
 
-fn wait_for(address: SocketAddr) {
+fn wait_until_listening(address: SocketAddr) {
     let began = Instant::now();
     while TcpStream::connect(address).is_err() {
-        assert!(began.elapsed() < PATIENCE, "nothing listens on {address}");
+        assert!(began.elapsed() < TIMEOUT, "nothing listens on {address}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -251,19 +252,21 @@
     control(platform, "vms", &vms);
 }
 
-/// Tells the platform's stand-in what to do.
-fn control(platform: SocketAddr, what: &str, body: &str) {
+/// Sends a control request to the test double of the platform.
+fn control(platform: SocketAddr, command: &str, body: &str) {
     let text = format!(
-        "POST /control/{what} HTTP/1.1\r\nHost: platform\r\nConnection: close\r\n\
+        "POST /control/{command} HTTP/1.1\r\nHost: platform\r\nConnection: close\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
     let mut stream = connect(platform);
-    stream.write_all(text.as_bytes()).expect("it is taken");
+    stream
+        .write_all(text.as_bytes())
+        .expect("the request is sent");
     assert!(read_all(&mut stream).starts_with("HTTP/1.1 200"));
 }
 
-fn apply(platform: SocketAddr) {
+fn apply_declarations(platform: SocketAddr) {
     let files = BTreeMap::from([
         ("services.ini".to_string(), SERVICES.to_string()),
         ("one.rhai".to_string(), POLICY.to_string()),
--- a/node/tests/node/main.rs
+++ b/node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! A node as a process, between stand-ins for the platform and the upstream.
+//! A node as a process, with test doubles of the platform and the upstream.
 
 mod doors;
 mod fleet;
--- a/node/tests/node/operators.rs
+++ b/node/tests/node/operators.rs
@@ -1,6 +1,6 @@
-//! The operators' address, and settings that do not pass the check.
+//! The operators' address, and invalid settings.
 
-use crate::fleet::{get, Beside, Fleet, FLEET_KEY};
+use crate::fleet::{get, Fleet, UpstreamKind, FLEET_KEY};
 use std::process::Command;
 
 fn post(path: &str, key: &str) -> Vec<u8> {
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn a_drained_node_takes_no_new_work_until_it_is_undrained() {
-    let fleet = Fleet::start("drain", Beside::Upstream(0));
+fn drained_node_accepts_no_new_work_until_the_drain_ends() {
+    let fleet = Fleet::start("drain", UpstreamKind::Working(0));
     let refused = fleet.raw(fleet.operators, &post("/drain", "a wrong key"));
     assert!(refused.starts_with("HTTP/1.1 401"), "{refused}");
     assert!(fleet.request("GET", "", "").starts_with("HTTP/1.1 200"));
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn status_names_the_revision_in_force() {
-    let fleet = Fleet::start("status", Beside::Upstream(0));
+fn status_shows_the_revision_in_force() {
+    let fleet = Fleet::start("status", UpstreamKind::Working(0));
     let status = fleet.raw(fleet.operators, &get("/status"));
     assert!(status.contains("\"revision\":1"), "{status}");
     assert!(status.contains("\"change\":\"first\""), "{status}");
 }
 
 #[test]
-fn settings_with_problems_end_the_node_before_it_listens() {
+fn node_with_invalid_settings_exits_and_reports_all_problems() {
     let path = std::env::temp_dir().join(format!("drumwheel-bad-{}.ini", std::process::id()));
     std::fs::write(&path, "[node]\nvm = a\nslots = 3\n").expect("a file");
     for flag in [Some("--check"), None] {
--- a/node/tests/node/stop.rs
+++ b/node/tests/node/stop.rs
@@ -1,68 +1,68 @@
 //! Deadlines and the planned stop.
 
-use crate::fleet::{connect, header, read_all, Beside, Fleet, PATIENCE};
+use crate::fleet::{connect, header, read_all, Fleet, UpstreamKind, TIMEOUT};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Sends a request and waits until it runs.
-fn start_one(fleet: &Fleet) -> TcpStream {
-    let stream = send_one(fleet);
-    until_metric(fleet, "drumwheel_in_flight");
+/// Sends a request and waits until it is in flight.
+fn start_request(fleet: &Fleet) -> TcpStream {
+    let stream = send_request(fleet);
+    wait_for_metric(fleet, "drumwheel_in_flight");
     stream
 }
 
 /// Waits until a counter or gauge is 1 or more.
-fn until_metric(fleet: &Fleet, name: &str) {
+fn wait_for_metric(fleet: &Fleet, name: &str) {
     let began = Instant::now();
     while fleet.metric(name) < 1.0 {
-        assert!(began.elapsed() < PATIENCE, "{name} stays below 1");
+        assert!(began.elapsed() < TIMEOUT, "{name} stays below 1");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn send_one(fleet: &Fleet) -> TcpStream {
+fn send_request(fleet: &Fleet) -> TcpStream {
     let mut stream = connect(fleet.callers);
     stream
         .write_all(b"POST / HTTP/1.1\r\nHost: one.example\r\nContent-Length: 0\r\n\r\n")
-        .expect("it is taken");
+        .expect("the request is sent");
     stream
 }
 
 #[test]
-fn a_planned_stop_lets_a_request_in_flight_end_and_then_exits() {
-    let mut fleet = Fleet::start("stop", Beside::Upstream(1_500_000));
-    let mut stream = start_one(&fleet);
+fn planned_stop_completes_a_request_in_flight_and_then_exits() {
+    let mut fleet = Fleet::start("stop", UpstreamKind::Working(1_500_000));
+    let mut stream = start_request(&fleet);
     fleet.terminate();
     let response = read_all(&mut stream);
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert_eq!(header(&response, "connection"), Some("close"));
-    assert!(fleet.wait(), "the node ends with success");
+    assert!(fleet.wait(), "the node exits with success");
 }
 
 #[test]
-fn a_stopping_node_starts_no_new_work() {
-    let fleet = Fleet::start("stopping", Beside::Upstream(1_500_000));
-    let mut stream = start_one(&fleet);
+fn stopping_node_starts_no_new_work() {
+    let fleet = Fleet::start("stopping", UpstreamKind::Working(1_500_000));
+    let mut stream = start_request(&fleet);
     fleet.terminate();
-    until_metric(&fleet, "drumwheel_leaving");
+    wait_for_metric(&fleet, "drumwheel_leaving");
     let response = fleet.request("POST", "", "x");
     assert_eq!(header(&response, "drumwheel-outcome"), Some("not-run"));
     assert!(read_all(&mut stream).starts_with("HTTP/1.1 200"));
 }
 
 #[test]
-fn a_request_given_up_at_its_deadline_is_told_unknown_when_it_may_have_run() {
-    let fleet = Fleet::start("deadline", Beside::Upstream(2_000_000));
+fn request_that_may_have_run_is_reported_as_unknown_at_its_deadline() {
+    let fleet = Fleet::start("deadline", UpstreamKind::Working(2_000_000));
     let response = fleet.request("POST", "Drumwheel-Deadline-Ms: 200\r\n", "x");
     assert!(response.starts_with("HTTP/1.1 504"), "{response}");
     assert_eq!(header(&response, "drumwheel-outcome"), Some("unknown"));
 }
 
 #[test]
-fn a_caller_that_hangs_up_takes_its_queued_request_along() {
-    let fleet = Fleet::start("hang-up", Beside::Upstream(700_000));
-    let send = |count| (0..count).map(|_| send_one(&fleet)).collect::<Vec<_>>();
+fn queued_request_is_removed_when_its_caller_disconnects() {
+    let fleet = Fleet::start("hang-up", UpstreamKind::Working(700_000));
+    let send = |count| (0..count).map(|_| send_request(&fleet)).collect::<Vec<_>>();
     let running = send(4);
     while fleet.metric("drumwheel_in_flight") + fleet.metric("drumwheel_queued") < 4.0 {
         std::thread::sleep(Duration::from_millis(10));
@@ -81,9 +81,9 @@
 }
 
 #[test]
-fn a_head_request_keeps_the_length_that_the_upstream_declares() {
+fn answer_to_head_keeps_the_length_declared_by_the_upstream() {
     let bytes = "HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n";
-    let fleet = Fleet::start("head", Beside::Bytes(bytes.as_bytes().to_vec()));
+    let fleet = Fleet::start("head", UpstreamKind::Raw(bytes.as_bytes().to_vec()));
     let response = fleet.request("HEAD", "", "");
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert_eq!(header(&response, "content-length"), Some("1234"));
--- a/node/tests/node/upstreams.rs
+++ b/node/tests/node/upstreams.rs
@@ -1,8 +1,9 @@
-//! What a node makes of an upstream's answer that is not whole, or not an answer.
+//! Answers of upstreams that are incomplete or invalid, shed the request, or announce a drain.
 
-use crate::fleet::{header, Beside, Fleet};
+use crate::fleet::{header, Fleet, UpstreamKind};
 
-const NOT_WHOLE: &[(&str, &str)] = &[
+/// Name of the case, bytes of the answer.
+const INVALID_ANSWERS: &[(&str, &str)] = &[
     (
         "cut off",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
@@ -38,10 +39,10 @@
 ];
 
 #[test]
-fn an_answer_that_is_not_whole_is_never_passed_on() {
-    for (name, bytes) in NOT_WHOLE {
+fn incomplete_or_invalid_answer_is_never_forwarded() {
+    for (name, bytes) in INVALID_ANSWERS {
         let tag = name.replace(' ', "-");
-        let fleet = Fleet::start(&tag, Beside::Bytes(bytes.as_bytes().to_vec()));
+        let fleet = Fleet::start(&tag, UpstreamKind::Raw(bytes.as_bytes().to_vec()));
         let response = fleet.request("POST", "", "x");
         assert_eq!(
             header(&response, "drumwheel-outcome"),
@@ -54,10 +55,10 @@
 }
 
 #[test]
-fn bytes_behind_an_answer_are_never_taken_for_the_next_answer() {
+fn surplus_bytes_after_an_answer_are_not_used_for_the_next_request() {
     let bytes = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\n\
                  Content-Length: 3\r\n\r\ntwo";
-    let fleet = Fleet::start("behind", Beside::Bytes(bytes.as_bytes().to_vec()));
+    let fleet = Fleet::start("behind", UpstreamKind::Raw(bytes.as_bytes().to_vec()));
     for _ in 0..5 {
         let response = fleet.request("POST", "", "x");
         assert!(response.ends_with("one"), "{response}");
@@ -65,10 +66,10 @@
 }
 
 #[test]
-fn a_chunked_answer_is_passed_on_whole() {
+fn chunked_answer_is_forwarded_completely() {
     let bytes =
         "HTTP/1.1 201 Created\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-    let fleet = Fleet::start("chunked", Beside::Bytes(bytes.as_bytes().to_vec()));
+    let fleet = Fleet::start("chunked", UpstreamKind::Raw(bytes.as_bytes().to_vec()));
     let response = fleet.request("POST", "", "x");
     assert!(response.starts_with("HTTP/1.1 201"), "{response}");
     assert!(response.ends_with("\r\n\r\nabcde"), "{response}");
@@ -76,9 +77,9 @@
 }
 
 #[test]
-fn an_upstream_that_sheds_is_told_as_not_run() {
+fn request_shed_by_the_upstream_is_reported_as_not_run() {
     let bytes = "HTTP/1.1 503 Service Unavailable\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n";
-    let fleet = Fleet::start("shed", Beside::Bytes(bytes.as_bytes().to_vec()));
+    let fleet = Fleet::start("shed", UpstreamKind::Raw(bytes.as_bytes().to_vec()));
     let response = fleet.request("POST", "", "x");
     assert_eq!(header(&response, "drumwheel-outcome"), Some("not-run"));
     assert_eq!(header(&response, "drumwheel-reason"), Some("shed"));
@@ -86,18 +87,18 @@
 }
 
 #[test]
-fn headers_by_which_an_upstream_would_speak_for_the_node_are_dropped() {
+fn the_nodes_own_headers_are_removed_from_an_upstreams_answer() {
     let bytes = "HTTP/1.1 200 OK\r\nDrumwheel-Outcome: not-run\r\nContent-Length: 2\r\n\r\nok";
-    let fleet = Fleet::start("speaks", Beside::Bytes(bytes.as_bytes().to_vec()));
+    let fleet = Fleet::start("speaks", UpstreamKind::Raw(bytes.as_bytes().to_vec()));
     let response = fleet.request("POST", "", "x");
     assert_eq!(header(&response, "drumwheel-outcome"), Some("answered"));
     assert_eq!(response.matches("not-run").count(), 0, "{response}");
 }
 
 #[test]
-fn an_upstream_that_leaves_gets_no_new_work() {
+fn upstream_that_announces_a_drain_gets_no_new_work() {
     let bytes = "HTTP/1.1 200 OK\r\nX-Draining: 1\r\nContent-Length: 2\r\n\r\nok";
-    let fleet = Fleet::start("leaves", Beside::Bytes(bytes.as_bytes().to_vec()));
+    let fleet = Fleet::start("leaves", UpstreamKind::Raw(bytes.as_bytes().to_vec()));
     assert!(fleet.request("POST", "", "x").ends_with("ok"));
     for _ in 0..3 {
         let response = fleet.request("POST", "", "x");
@@ -106,15 +107,13 @@
     assert_eq!(fleet.metric("drumwheel_started"), 1.0);
 }
 
-/// *Symptom.* A test waited for ever for its request to run.
-/// *Sequence.* The node said that it was ready, and refused the request that came next: `no-upstream`.
-/// *Cause.* It asked the platform for the head first and for the list of VMs then; ready means that the head's
-/// declarations are in force.
-/// *What settled it.* The counters of the node: one call refused for `no-upstream`, none in flight since.
+/// Guards against a node that reports that it is ready and then refuses a request with `no-upstream`:
+/// ready means that the head's declarations are in force, and the node read the head from the
+/// platform before it read the list of VMs. A test then waited forever for its request to run.
 #[test]
-fn a_node_that_says_it_is_ready_knows_its_upstreams() {
+fn node_that_reports_ready_knows_its_upstreams() {
     let slow_ms = 100;
-    let fleet = Fleet::start_on_slow_platform("ready", Beside::Upstream(1_000), slow_ms);
+    let fleet = Fleet::start_on_slow_platform("ready", UpstreamKind::Working(1_000), slow_ms);
     let response = fleet.request("POST", "", "x");
     let outcome = header(&response, "drumwheel-outcome");
     assert_eq!(outcome, Some("answered"), "{response}");
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! Arguments of the command line.
 
 use bpaf::{Bpaf, Parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
     /// For people.
@@ -24,20 +24,20 @@
     }
 }
 
-const EXIT_CODES: &str = "Exit codes: 0 done; 1 failed; 2 bad input; 3 conflict with another \
-                          operator's change; 4 unknown, ask again with the same id.";
+const EXIT_CODES: &str = "Exit codes: 0 done; 1 failed; 2 invalid input; 3 conflict with another \
+                          operator's change; 4 outcome unknown, run again with the same id.";
 
-/// Operators' tool of drumwheel.
+/// Command-line tool for operators of drumwheel.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version, generate(command), footer(EXIT_CODES))]
 pub enum Command {
     /// Print the path of one request, from the log lines of all nodes
     #[bpaf(command)]
     Explain {
-        /// The request's identity
+        /// Identifier of the request
         #[bpaf(positional("ID"))]
         id: String,
-        /// Files with log lines; standard input without any
+        /// Files with log lines; standard input if none is given
         #[bpaf(positional("FILE"))]
         files: Vec<PathBuf>,
     },
@@ -48,7 +48,7 @@
         #[bpaf(positional("DIR"))]
         dir: PathBuf,
     },
-    /// Show what would change, and the base revision that apply needs
+    /// Show what would change, and the base revision for `apply`
     #[bpaf(command)]
     Plan {
         #[bpaf(external)]
@@ -68,18 +68,19 @@
         format: Format,
         /// Revision that the plan was made on; 0 for the first
         base: u64,
-        /// Who makes the change
+        /// Name of the operator who makes the change
         who: String,
-        /// Why
+        /// Reason for the change
         why: String,
-        /// Identity of the change; give that of an earlier try to learn what became of it
+        /// Identifier of the change; repeat that of an earlier try to learn its outcome
         id: Option<String>,
-        /// Number the new revision above this one, for a platform that was restored from an old copy
+        /// Number the new revision above this one, for a platform that was restored from an older
+        /// copy
         #[bpaf(fallback(0))]
         floor: u64,
-        /// File with the fleet's key; with it the revision is also handed to nodes directly
+        /// File with the fleet's key; if given, the revision is also sent to nodes directly
         key_file: Option<PathBuf>,
-        /// Calls without an answer before giving up
+        /// Number of calls without an answer before giving up
         #[bpaf(fallback(5))]
         tries: u32,
         /// Directory with services.ini
@@ -101,58 +102,57 @@
         platform: SocketAddr,
         #[bpaf(external)]
         format: Format,
-        /// Changes at most
+        /// Maximum number of changes
         #[bpaf(fallback(20))]
         most: usize,
-        /// Show the difference that each change made
+        /// Show the difference made by each change
         diff: bool,
     },
-    /// Show the requests that no upstream sees, because upstreams ended while they ran them
+    /// Show the quarantined requests: upstreams terminated while they processed them, so none
+    /// receives them
     #[bpaf(command)]
     Held {
-        /// The operators' address of any node
+        /// Operators' address of any node
         node: String,
         #[bpaf(external)]
         format: Format,
     },
-    /// Free such a request; all nodes are told
+    /// Release a request from quarantine on all nodes
     #[bpaf(command)]
     Release {
-        /// The operators' address of any node
+        /// Operators' address of any node
         node: String,
         /// File with the fleet's key
         key_file: PathBuf,
-        /// Who frees it
+        /// Name of the operator who releases it
         who: String,
-        /// Why
+        /// Reason for the release
         why: String,
-        /// The request's fingerprint, as `held` and log lines name it
+        /// Fingerprint of the request, as shown by `held` and in log lines
         #[bpaf(positional("FINGERPRINT"))]
         fingerprint: String,
     },
-    /// Make a node's upstream take no new work
+    /// Drain a node's upstream: it gets no new work
     #[bpaf(command)]
     Drain {
-        /// The node's operators' address
+        /// Operators' address of the node
         node: String,
         /// File with the fleet's key
         key_file: PathBuf,
-        /// Take new work again
+        /// End the drain
         undo: bool,
     },
 }
 
-/// Address of the platform's object API.
 fn platform() -> impl Parser<SocketAddr> {
     bpaf::long("platform")
         .help("Address of the platform's object API")
         .argument::<SocketAddr>("ADDRESS")
 }
 
-/// Form of the output.
 fn format() -> impl Parser<Format> {
     bpaf::long("format")
-        .help("text or json")
+        .help("Output format: text or json")
         .argument::<Format>("FORMAT")
         .fallback(Format::Text)
 }
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -11,24 +11,24 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Nodes of each hall to which an accepted revision is handed directly.
+/// Number of nodes in each data hall to which an accepted revision is sent directly.
 const PUSHED_PER_HALL: usize = 2;
 
-/// What the operator asks for.
+/// The operator's arguments.
 pub struct Request {
-    /// Revision of the plan.
+    /// Revision on which the plan is based.
     pub base: u64,
-    /// Who.
+    /// Name of the operator.
     pub who: String,
-    /// Why.
+    /// Reason for the change.
     pub why: String,
-    /// Identity of an earlier try.
+    /// Identifier of the change, given when an earlier try is repeated.
     pub id: Option<String>,
-    /// Number above which the revision is counted.
+    /// The new revision gets a number above this one.
     pub floor: u64,
     /// File with the fleet's key.
     pub key_file: Option<PathBuf>,
-    /// Calls without an answer before giving up.
+    /// Number of calls without an answer before giving up.
     pub tries: u32,
 }
 
@@ -59,41 +59,44 @@
     };
     let outcome = operator::apply(&client, plan, request.tries).await;
     if let (ApplyOutcome::Accepted(head), Some(path)) = (&outcome, &request.key_file) {
-        if let Err(error) = hand_out(&client, head, path).await {
-            eprintln!("drumwheel: accepted, but not handed to nodes directly: {error}");
+        if let Err(error) = push_to_nodes(&client, head, path).await {
+            eprintln!("drumwheel: accepted, but not sent to nodes directly: {error}");
         }
     }
     messages::outcome(&outcome, &id, format == Format::Json)
 }
 
-/// Hands the accepted revision to a few nodes of each hall, so that it takes hold even if the
-/// platform fails right now.
-async fn hand_out(client: &Client, head: &Head, key_file: &Path) -> Result<()> {
+/// Sends the accepted revision to a few nodes of each data hall, so that it comes into force even if
+/// the platform fails immediately afterwards.
+async fn push_to_nodes(client: &Client, head: &Head, key_file: &Path) -> Result<()> {
     let key = read_key(key_file)?;
     let configuration = operator::configuration(client, head.clone()).await?;
     let list = operator::vms(client).await?;
-    let mut handed: std::collections::BTreeMap<&str, usize> = std::collections::BTreeMap::new();
+    let mut pushed: std::collections::BTreeMap<&str, usize> = std::collections::BTreeMap::new();
     for vm in list.vms.iter().filter(|vm| !vm.leaving) {
-        let count = handed.entry(vm.hall.as_str()).or_insert(0);
+        let count = pushed.entry(vm.hall.as_str()).or_insert(0);
         if *count < PUSHED_PER_HALL && push(&vm.operators, &key, &configuration).await {
             *count += 1;
         }
     }
-    let missed: Vec<&str> = handed
+    let missed_halls: Vec<&str> = pushed
         .into_iter()
         .filter(|(_, count)| *count == 0)
         .map(|(hall, _)| hall)
         .collect();
-    if missed.is_empty() {
+    if missed_halls.is_empty() {
         return Ok(());
     }
-    let cause = format!("no node took it in: {}", missed.join(", "));
+    let cause = format!(
+        "no node accepted it in these halls: {}",
+        missed_halls.join(", ")
+    );
     Err(Error::new(Step::Operators, "nodes", cause))
 }
 
 async fn push(address: &str, key: &str, configuration: &Configuration) -> bool {
     match operator::push(address, key, configuration).await {
-        // A node that is checking it, because it came another way, has it as well.
+        // "UnderWay": the node has received the revision by another way and is checking it.
         Ok(answer) => ["Taken", "Same", "UnderWay"].contains(&answer.as_str()),
         Err(_) => false,
     }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -12,12 +12,12 @@
         Err(error) => return messages::failure(&error),
     };
     match declarations::check(&bundle) {
-        Ok(found) => {
+        Ok(checked) => {
             println!(
                 "{}: {} services, {} groups, no problems",
                 dir.display(),
-                found.services.len(),
-                found.groups.len()
+                checked.services.len(),
+                checked.groups.len()
             );
             ExitCode::SUCCESS
         }
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Makes a node's upstream take no new work, or take it again.
+/// Drains a node's upstream, or ends the drain.
 pub async fn run(node: &str, key_file: &Path, undo: bool) -> ExitCode {
     let key = match read_key(key_file) {
         Ok(key) => key,
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Prints the path of a request from the nodes' log lines: the files, or standard input.
+/// Prints the path of a request, from the nodes' log lines in the files or on standard input.
 pub fn run(id: &str, files: &[PathBuf]) -> ExitCode {
     let texts = match read(files) {
         Ok(texts) => texts,
--- a/src/cmd/held.rs
+++ b/src/cmd/held.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use std::process::ExitCode;
 
-/// Shows the requests that the nodes hold, as one of them knows them.
+/// Shows the quarantined requests, as known by one node.
 pub async fn run(node: &str, format: Format) -> ExitCode {
     let status = match operator::status(node).await {
         Ok(status) => status,
@@ -15,8 +15,8 @@
         println!("{}", json!({ "held": status.held }));
         return ExitCode::SUCCESS;
     }
-    for held in &status.held {
-        println!("{} {} ends", held.fingerprint, held.ends);
+    for request in &status.held {
+        println!("{} {} ends", request.fingerprint, request.ends);
     }
     println!("{} held", status.held.len());
     ExitCode::SUCCESS
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Shows the chain of changes, the newest first.
-pub async fn run(platform: SocketAddr, format: Format, most: usize, diff: bool) -> ExitCode {
+/// Shows the latest changes, the newest first.
+pub async fn run(platform: SocketAddr, format: Format, max: usize, diff: bool) -> ExitCode {
     let client = Client::new(vec![platform]);
-    let heads = match operator::history(&client, most).await {
+    let heads = match operator::history(&client, max).await {
         Ok(heads) => heads,
         Err(error) => return messages::failure(&error),
     };
@@ -29,7 +29,7 @@
         if !diff {
             continue;
         }
-        match difference(&client, head, heads.get(i + 1)).await {
+        match diff_lines(&client, head, heads.get(i + 1)).await {
             Ok(lines) => lines.iter().for_each(|line| println!("    {line}")),
             Err(error) => return messages::failure(&error),
         }
@@ -37,7 +37,7 @@
     ExitCode::SUCCESS
 }
 
-async fn difference(client: &Client, head: &Head, before: Option<&Head>) -> Result<Vec<String>> {
+async fn diff_lines(client: &Client, head: &Head, before: Option<&Head>) -> Result<Vec<String>> {
     let after = bundle(client, head).await?;
     let before = match before {
         Some(head) => bundle(client, head).await?,
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Shows the difference between a directory and what is in force.
+/// Shows the difference between a directory of declarations and the revision in force.
 pub async fn run(platform: SocketAddr, format: Format, dir: &Path) -> ExitCode {
     let bundle = match Bundle::read(dir) {
         Ok(bundle) => bundle,
--- a/src/cmd/release.rs
+++ b/src/cmd/release.rs
@@ -6,15 +6,15 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Frees a request that the nodes hold.
+/// Releases a request from quarantine.
 pub async fn run(node: &str, key_file: &Path, release: &Release) -> ExitCode {
     let key = match read_key(key_file) {
         Ok(key) => key,
         Err(error) => return messages::failure(&error),
     };
     match operator::release(node, &key, release).await {
-        Ok(made) => {
-            println!("{}: {made}", release.fingerprint);
+        Ok(answer) => {
+            println!("{}: {answer}", release.fingerprint);
             ExitCode::SUCCESS
         }
         Err(error) => messages::failure(&error),
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -16,8 +16,8 @@
         Err(error) => return messages::failure(&error),
     };
     let in_force = operator::head(&client).await;
-    let asked = list.vms.iter().map(|vm| operator::status(&vm.operators));
-    let answers = join_all(asked).await;
+    let queries = list.vms.iter().map(|vm| operator::status(&vm.operators));
+    let answers = join_all(queries).await;
     let nodes: Vec<_> = list.vms.iter().zip(answers).collect();
     if format == Format::Json {
         let rows: Vec<_> = nodes
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `drumwheel`: the operators' command line.
+//! `drumwheel`: command-line tool for operators.
 
 mod cli;
 mod cmd;
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the command line prints, and its exit codes.
+//! Messages and exit codes of the command line.
 
 use errors::{Error, Problems};
 use operator::NodeStatus;
@@ -8,11 +8,12 @@
 
 /// Exit code: failed.
 pub const FAILED: u8 = 1;
-/// Exit code: bad input.
+/// Exit code: invalid input.
 pub const BAD_INPUT: u8 = 2;
-/// Exit code: another operator's change came first.
+/// Exit code: conflict with another operator's change.
 pub const CONFLICT: u8 = 3;
-/// Exit code: the platform gave no answer; ask again with the change's id.
+/// Exit code: the outcome is unknown, because the platform gave no answer. The command can be
+/// repeated with the same change id.
 pub const UNKNOWN: u8 = 4;
 
 /// Prints a failure.
@@ -21,15 +22,15 @@
     ExitCode::from(FAILED)
 }
 
-/// Prints that a file could not be read.
+/// Prints that an input could not be read.
 pub fn unreadable(error: &str) -> ExitCode {
     eprintln!("drumwheel: {error}");
     ExitCode::from(BAD_INPUT)
 }
 
-/// Prints that no line names a request.
+/// Prints that there is no log line of a request.
 pub fn nothing_found(id: &str) -> ExitCode {
-    eprintln!("drumwheel: no line names the request {id}");
+    eprintln!("drumwheel: no log lines for the request {id}");
     ExitCode::from(FAILED)
 }
 
@@ -61,7 +62,7 @@
         ),
         ApplyOutcome::Conflict { revision, theirs } => {
             let change = theirs.as_ref().map_or_else(
-                || "nothing is in force, yet the plan was made on a revision".to_string(),
+                || "no revision is in force, but the plan was based on one".to_string(),
                 |change| format!("{} changed it first: {}", change.who, change.why),
             );
             (
@@ -72,7 +73,7 @@
         }
         ApplyOutcome::Unknown => (
             format!(
-                "unknown: the platform gave no answer; ask again with the same --base and --id {id}"
+                "unknown: the platform gave no answer; run again with the same --base and --id {id}"
             ),
             json!({ "outcome": "unknown", "id": id }),
             UNKNOWN,
@@ -93,8 +94,9 @@
     )
 }
 
-/// Where the store stands for a node, where it tells its era.
-fn store(node: &NodeStatus) -> String {
+/// The store's era and the position up to which a node has read it; empty where the store reports no
+/// era.
+fn store_position(node: &NodeStatus) -> String {
     let Some(era) = node.store_era else {
         return String::new();
     };
@@ -119,7 +121,7 @@
             node.in_flight,
             node.limit,
             node.queued,
-            store(node)
+            store_position(node)
         )
         }
         Err(error) => format!("{vm:<16} no answer: {error}"),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line against the platform's stand-in.
+//! The operators' command-line tool, with a test double of the platform.
 
 use standins::platform::Platform;
 use std::io::{Read, Write};
@@ -8,9 +8,9 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// First port of these tests; below those that the system hands out.
+/// Next port for these tests; below the range from which the system assigns ports.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(19_000);
 
 struct Site {
@@ -19,13 +19,16 @@
 }
 
 impl Site {
-    /// A platform, and a directory of declarations that a test may change.
+    /// Starts a platform and creates a directory of declarations that the test may change.
     fn new(name: &str) -> Site {
-        let platform = free();
+        let platform = free_address();
         async_std::task::spawn(Platform::default().app().listen(platform));
         let began = Instant::now();
         while TcpStream::connect(platform).is_err() {
-            assert!(began.elapsed() < PATIENCE, "the platform does not come up");
+            assert!(
+                began.elapsed() < STARTUP_TIMEOUT,
+                "the platform does not start"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
         let dir = std::env::temp_dir().join(format!("drumwheel-cli-{name}-{}", std::process::id()));
@@ -54,19 +57,22 @@
         self.run("apply", &args)
     }
 
-    /// Replaces a policy, whose examples no longer hold.
-    fn change(&self, text: &str) {
+    /// Replaces a policy and removes its examples, which the new one doesn't satisfy.
+    fn replace_policy(&self, text: &str) {
         std::fs::remove_file(self.dir.join("prices.examples.ini")).ok();
-        std::fs::write(self.dir.join("prices.rhai"), text).expect("it is written");
+        std::fs::write(self.dir.join("prices.rhai"), text).expect("the policy is written");
     }
 
+    /// Sends a control request to the platform.
     fn control(&self, path: &str) {
         let mut stream = TcpStream::connect(self.platform).expect("a connection");
         let text = format!(
             "POST /control/{path} HTTP/1.1\r\nHost: platform\r\nConnection: close\r\n\
              Content-Length: 0\r\n\r\n"
         );
-        stream.write_all(text.as_bytes()).expect("it is taken");
+        stream
+            .write_all(text.as_bytes())
+            .expect("the request is sent");
         stream.read_to_end(&mut Vec::new()).ok();
     }
 }
@@ -77,7 +83,7 @@
     }
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     loop {
         let port = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
         let address = SocketAddr::from(([127, 0, 0, 1], port));
@@ -87,7 +93,7 @@
     }
 }
 
-fn code(output: &Output) -> Option<i32> {
+fn exit_code(output: &Output) -> Option<i32> {
     output.status.code()
 }
 
@@ -97,31 +103,31 @@
 }
 
 #[test]
-fn problems_are_shown_with_their_place_and_nothing_is_applied() {
+fn problems_are_shown_with_their_position_and_nothing_is_applied() {
     let site = Site::new("problems");
-    site.change("#{ repeatable: maybe }");
+    site.replace_policy("#{ repeatable: maybe }");
     let dir = site.dir.display().to_string();
     let check = Command::new(env!("CARGO_BIN_EXE_drumwheel"))
         .args(["check", &dir])
         .output()
         .expect("the command runs");
-    assert_eq!(code(&check), Some(2));
+    assert_eq!(exit_code(&check), Some(2));
     assert!(text(&check).contains("prices.rhai:1:"), "{}", text(&check));
-    assert_eq!(code(&site.apply("0", "first", &[])), Some(2));
+    assert_eq!(exit_code(&site.apply("0", "first", &[])), Some(2));
     assert_eq!(text(&site.run("history", &[])), "");
 }
 
 #[test]
-fn a_plan_names_the_base_on_which_it_is_applied_and_history_keeps_the_record() {
+fn plan_prints_its_base_and_history_lists_the_changes() {
     let site = Site::new("plan");
     let dir = site.dir.display().to_string();
     assert!(text(&site.run("plan", &[&dir])).contains("apply with --base 0"));
-    assert_eq!(code(&site.apply("0", "first", &[])), Some(0));
-    site.change("#{ repeatable: true }\n");
+    assert_eq!(exit_code(&site.apply("0", "first", &[])), Some(0));
+    site.replace_policy("#{ repeatable: true }\n");
     let plan = text(&site.run("plan", &[&dir]));
     assert!(plan.contains("+ #{ repeatable: true }"), "{plan}");
     assert!(plan.contains("apply with --base 1"), "{plan}");
-    assert_eq!(code(&site.apply("1", "simpler", &[])), Some(0));
+    assert_eq!(exit_code(&site.apply("1", "simpler", &[])), Some(0));
     let history = text(&site.run("history", &["--diff"]));
     let lines: Vec<&str> = history.lines().collect();
     assert!(lines[0].starts_with("revision 2"), "{history}");
@@ -131,12 +137,12 @@
 }
 
 #[test]
-fn an_old_plan_meets_a_conflict_that_names_the_other_change() {
+fn outdated_plan_is_rejected_with_the_conflicting_change() {
     let site = Site::new("conflict");
     site.apply("0", "first", &[]);
-    site.change("#{ repeatable: method == \"GET\", attempts: 1 }\n");
+    site.replace_policy("#{ repeatable: method == \"GET\", attempts: 1 }\n");
     let late = site.apply("0", "late", &[]);
-    assert_eq!(code(&late), Some(3));
+    assert_eq!(exit_code(&late), Some(3));
     assert!(
         text(&late).contains("ndapewa changed it first: first"),
         "{}",
@@ -145,16 +151,19 @@
 }
 
 #[test]
-fn an_outage_is_told_as_unknown_and_the_same_id_settles_it() {
+fn outage_is_reported_as_unknown_and_the_same_id_can_be_repeated() {
     let site = Site::new("outage");
     site.control("outage/on");
     let unknown = site.apply("0", "first", &["--id", "abc", "--tries", "1"]);
-    assert_eq!(code(&unknown), Some(4));
+    assert_eq!(exit_code(&unknown), Some(4));
     assert!(text(&unknown).contains("--id abc"), "{}", text(&unknown));
     site.control("outage/off");
-    assert_eq!(code(&site.apply("0", "first", &["--id", "abc"])), Some(0));
+    assert_eq!(
+        exit_code(&site.apply("0", "first", &["--id", "abc"])),
+        Some(0)
+    );
     let again = site.apply("0", "first", &["--id", "abc"]);
-    assert_eq!(code(&again), Some(0));
+    assert_eq!(exit_code(&again), Some(0));
     assert!(
         text(&again).contains("accepted as revision 1"),
         "{}",
@@ -164,24 +173,25 @@
 }
 
 #[test]
-fn an_answer_lost_after_it_took_effect_is_found_again() {
+fn write_whose_answer_was_lost_is_recognised_as_accepted() {
     let site = Site::new("lost");
     site.apply("0", "first", &[]);
-    site.change("#{ repeatable: method == \"GET\", attempts: 1, priority: 1 }\n");
-    // The new policy, the new head, and the update of the head: the last answer is lost too.
+    site.replace_policy("#{ repeatable: method == \"GET\", attempts: 1, priority: 1 }\n");
+    // The answers to three writes are lost: the new policy, the new head as an object of its own, and
+    // the update of the head object.
     site.control("lose/3");
     let output = site.apply("1", "second", &["--tries", "6"]);
-    assert_eq!(code(&output), Some(0), "{}", text(&output));
+    assert_eq!(exit_code(&output), Some(0), "{}", text(&output));
     assert!(text(&output).contains("revision 2"), "{}", text(&output));
     assert_eq!(text(&site.run("history", &[])).lines().count(), 2);
 }
 
 #[test]
-fn a_platform_restored_from_an_old_copy_is_counted_on_above_what_nodes_have() {
+fn floor_numbers_revisions_above_those_before_a_restore_of_the_platform() {
     let site = Site::new("restored");
     site.apply("0", "first", &[]);
     site.control("snapshot");
-    site.change("#{ repeatable: method == \"GET\", attempts: 1, priority: 1 }\n");
+    site.replace_policy("#{ repeatable: method == \"GET\", attempts: 1, priority: 1 }\n");
     site.apply("1", "second", &[]);
     site.control("restore");
     let output = site.apply("1", "second again", &["--floor", "2"]);
@@ -192,32 +202,32 @@
     );
 }
 
-/// A node that answers one operator's call; joined, it gives what it was sent.
+/// A node that answers a single call of an operator; the thread returns the bytes that it received.
 fn node(answer: &'static str) -> (SocketAddr, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("its address");
     let served = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a call");
-        let mut sent = Vec::new();
+        let mut received = Vec::new();
         let mut buf = [0; 4_096];
-        while !is_whole(&sent) {
+        while !is_complete(&received) {
             let count = stream.read(&mut buf).expect("the call");
             assert!(count > 0, "the call ended early");
-            sent.extend_from_slice(&buf[..count]);
+            received.extend_from_slice(&buf[..count]);
         }
         let length = answer.len();
         let head =
             format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n");
         let written = stream.write_all((head + answer).as_bytes());
-        written.expect("it is read");
-        String::from_utf8_lossy(&sent).to_string()
+        written.expect("the answer is sent");
+        String::from_utf8_lossy(&received).to_string()
     });
     (address, served)
 }
 
-/// Whether a request has arrived with the whole body that its head announces.
-fn is_whole(sent: &[u8]) -> bool {
-    let text = String::from_utf8_lossy(sent).to_lowercase();
+/// Whether a request is complete, with a body of the declared length.
+fn is_complete(request: &[u8]) -> bool {
+    let text = String::from_utf8_lossy(request).to_lowercase();
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
     };
@@ -235,14 +245,14 @@
 }
 
 #[test]
-fn requests_that_are_held_are_shown_with_their_ends() {
+fn quarantined_requests_are_shown_with_their_terminations() {
     let (address, served) = node(
         r#"{"vm":"a","hall":"h","revision":1,"list_version":0,"platform_reachable":true,
             "leaving":false,"in_flight":0,"queued":0,"limit":6,
             "held":[{"fingerprint":"49be8ae617e66deefaa1c67d4c8ec45e","ends":2}]}"#,
     );
     let output = drumwheel(&["held", "--node", &address.to_string()]);
-    assert_eq!(code(&output), Some(0), "{}", text(&output));
+    assert_eq!(exit_code(&output), Some(0), "{}", text(&output));
     let shown = text(&output);
     assert!(
         shown.contains("49be8ae617e66deefaa1c67d4c8ec45e 2 ends"),
@@ -253,7 +263,7 @@
 }
 
 #[test]
-fn a_request_is_freed_with_the_key_and_with_who_and_why() {
+fn release_sends_the_key_and_the_operators_name_and_reason() {
     let key = std::env::temp_dir().join(format!("drumwheel-release-{}", std::process::id()));
     std::fs::write(&key, "secret\n").expect("a key");
     let (address, served) = node("released\n");
@@ -272,7 +282,7 @@
         fingerprint,
     ]);
     std::fs::remove_file(&key).ok();
-    assert_eq!(code(&output), Some(0), "{}", text(&output));
+    assert_eq!(exit_code(&output), Some(0), "{}", text(&output));
     assert!(text(&output).contains("released"), "{}", text(&output));
     let sent = served.join().expect("no panic");
     assert!(sent.starts_with("POST /release"), "{sent}");
@@ -280,7 +290,7 @@
         sent.to_lowercase().contains("authorization: bearer secret"),
         "{sent}"
     );
-    for part in [fingerprint, "kaisa", "mended"] {
-        assert!(sent.contains(part), "{part}: {sent}");
+    for value in [fingerprint, "kaisa", "mended"] {
+        assert!(sent.contains(value), "{value}: {sent}");
     }
 }
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,9 +1,9 @@
-//! `scripts/losses` gives each request one reason.
+//! `scripts/losses` assigns one reason to each request.
 
 use std::process::Command;
 
 #[test]
-fn each_request_that_was_not_answered_in_time_has_one_reason() {
+fn each_request_not_answered_in_time_has_one_reason() {
     let root = env!("CARGO_MANIFEST_DIR");
     let out = Command::new("python3")
         .arg(format!("{root}/scripts/losses"))
