--- a/components/rollout/tests/rollout/reuse.rs
+++ b/components/rollout/tests/rollout/reuse.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against checking the full set after each change. A node on a tenth of a core served no requests
 //! for two seconds while it read and checked 4,200 routes, of the 2.5 s within which a change has to be in
-//! force. Its log lines "a revision came" showed a `check_ms` of 900 to 1,830.
+//! force. Its log lines "a revision was received" showed a `check_ms` of 900 to 1,830.
 
 use declarations::{Bundle, Route};
 use era::Position;
