--- a/components/model/src/demand.rs
+++ b/components/model/src/demand.rs
@@ -208,8 +208,8 @@
     /// active.
     fn account_weights(&self, site: &Site, at: Moment) -> Vec<f64> {
         let total: f64 = site.accounts.iter().map(|account| account.weight).sum();
-        let usual = site.accounts.iter().map(|account| account.weight / total);
-        let mut weights: Vec<f64> = usual.collect();
+        let base = site.accounts.iter().map(|account| account.weight / total);
+        let mut weights: Vec<f64> = base.collect();
         for surge in self.surges.iter().filter(|surge| surge.is_active(at)) {
             if let SurgeKind::Account(one, times) = surge.kind {
                 weights[one] *= times;
--- a/components/model/src/library.rs
+++ b/components/model/src/library.rs
@@ -2,7 +2,7 @@
 
 use crate::load::Load;
 use crate::read_site::SiteFile;
-use crate::scenario::{Head, Scenario};
+use crate::scenario::{LoadFile, Scenario};
 use errors::Problems;
 use std::path::Path;
 
@@ -70,22 +70,22 @@
         text: &str,
         read_file: impl Fn(&str) -> Result<String, String>,
     ) -> Result<Scenario, Problems> {
-        let head = Head::read(file, text)?;
-        let site_name = head.site.clone();
+        let load_file = LoadFile::read(file, text)?;
+        let site_name = load_file.site.clone();
         let site_text = match read_file(&site_name) {
             Ok(text) => text,
-            Err(cause) => return Err(head.missing_file("site", &site_name, &cause)),
+            Err(cause) => return Err(load_file.missing_file("site", &site_name, &cause)),
         };
         let site = SiteFile::read(&site_name, &site_text)?;
-        let recorded = match head.recorded.clone() {
+        let recorded = match load_file.recorded.clone() {
             None => None,
             Some(name) => match read_file(&name) {
                 Ok(text) => Some(Load::parse_for(&site.site, &name, &text)?),
-                Err(cause) => return Err(head.missing_file("recorded", &name, &cause)),
+                Err(cause) => return Err(load_file.missing_file("recorded", &name, &cause)),
             },
         };
         let name = Path::new(file).file_stem().unwrap_or_default();
-        head.finish(&name.to_string_lossy(), site, recorded)
+        load_file.finish(&name.to_string_lossy(), site, recorded)
     }
 }
 
--- a/components/model/src/scenario.rs
+++ b/components/model/src/scenario.rs
@@ -34,7 +34,7 @@
 }
 
 /// A load file whose site has not been read yet.
-pub(crate) struct Head {
+pub(crate) struct LoadFile {
     reader: Reader,
     /// File name of the site.
     pub(crate) site: String,
@@ -42,14 +42,14 @@
     pub(crate) recorded: Option<String>,
 }
 
-impl Head {
+impl LoadFile {
     /// Reads the file names of the site and of the recorded callers.
-    pub(crate) fn read(file: &str, text: &str) -> Result<Head, Problems> {
+    pub(crate) fn read(file: &str, text: &str) -> Result<LoadFile, Problems> {
         let mut reader = Reader::new(file, text)?;
         let site = reader.required("load", "site", "the name of a site's file");
         let recorded = reader.text("load", "recorded");
         match site {
-            Some(site) => Ok(Head {
+            Some(site) => Ok(LoadFile {
                 reader,
                 site,
                 recorded,
@@ -73,7 +73,7 @@
     pub(crate) fn finish(
         mut self,
         name: &str,
-        file: SiteFile,
+        site_file: SiteFile,
         recorded: Option<Load>,
     ) -> Result<Scenario, Problems> {
         let reader = &mut self.reader;
@@ -96,8 +96,8 @@
             period_us: demand.seconds_or("wave_period_s", 15.0),
             lag_us: demand.seconds_or("wave_lag_s", 0.0),
         };
-        let shares = shares(reader, &file);
-        let surges = surges(reader, &file.site);
+        let shares = shares(reader, &site_file);
+        let surges = surges(reader, &site_file.site);
         let faults = faults(reader);
         self.reader.finish(&SECTIONS)?;
         let demand = Demand {
@@ -106,13 +106,13 @@
             shares,
             surges,
             until,
-            deadline_spread: file.deadline_spread,
-            contents: file.contents,
-            connections: file.connections,
+            deadline_spread: site_file.deadline_spread,
+            contents: site_file.contents,
+            connections: site_file.connections,
         };
         Ok(Scenario {
             name: name.to_string(),
-            site: file.site,
+            site: site_file.site,
             demand,
             recorded,
             faults,
@@ -137,16 +137,16 @@
 
 /// Normalised class shares: those of the load file if it has any, else the site's. In a load file,
 /// classes that are not listed have a share of 0.
-fn shares(reader: &mut Reader, file: &SiteFile) -> Vec<f64> {
+fn shares(reader: &mut Reader, site_file: &SiteFile) -> Vec<f64> {
     let has_own = reader.sections().iter().any(|section| section == "shares");
     let shares = if has_own {
         let mut section = Section::new(reader, "shares");
-        let classes = file.site.classes.iter();
+        let classes = site_file.site.classes.iter();
         classes
             .map(|class| section.number_or(class.name.as_str(), 0.0..=1_000.0, 0.0))
             .collect()
     } else {
-        file.shares.clone()
+        site_file.shares.clone()
     };
     let total: f64 = shares.iter().sum();
     if total <= 0.0 {
--- a/components/model/tests/callers.rs
+++ b/components/model/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers, connections and calls do in the model, on sites of few upstreams.
+//! Behaviour of callers, connections and calls on sites of few upstreams.
 
 use model::{
     Arrival, Callers, Calls, Class, Fault, FaultKind, Load, Service, Site, SpeedModel, Tail, Tally,
@@ -8,7 +8,7 @@
 
 const END: Moment = Moment(10 * SECOND);
 
-/// A request of `work_ms` at the service of this index.
+/// A class of requests that take `work_ms` at the service with this index.
 fn class(service: usize, work_ms: u64, objective_ms: u64, deadline_ms: u64) -> Class {
     Class {
         name: Name::from(format!("class-{service}")),
@@ -27,7 +27,7 @@
     }
 }
 
-/// One hall with one upstream of one slot for each class.
+/// One hall, with one upstream of one slot per class.
 fn site(classes: Vec<Class>) -> Site {
     let indexes = 0..classes.len();
     Site {
@@ -66,7 +66,7 @@
     }
 }
 
-fn at(ms: u64, class: usize) -> Arrival {
+fn arrival_at(ms: u64, class: usize) -> Arrival {
     Arrival {
         at: Moment(ms * MILLISECOND),
         class,
@@ -79,56 +79,56 @@
     world.simulate_tallied(&Load { arrivals }, Moment(0)..END)
 }
 
-/// A class whose only slot is taken for two seconds by the first caller, and a second caller that has 120 ms.
-fn refused_once(site: &Site) -> Tally {
-    let short = Arrival {
+/// The first caller occupies the only slot for two seconds; the second has a deadline of 120 ms.
+fn simulate_second_refused(site: &Site) -> Tally {
+    let short_deadline = Arrival {
         deadline_us: Some(120 * MILLISECOND),
-        ..at(10, 0)
+        ..arrival_at(10, 0)
     };
-    simulate(site, vec![at(0, 0), short])
+    simulate(site, vec![arrival_at(0, 0), short_deadline])
 }
 
-/// Guards against callers that a long `Retry-After` keeps away: those of the users' sites come back after a third of
-/// their time. No node names less than 50 ms.
+/// Guards against callers that a long `Retry-After` keeps from retrying: callers of real
+/// deployments retry after a third of their remaining time, and no node advises less than 50 ms.
 #[test]
-fn a_caller_told_to_wait_longer_comes_back_after_a_third_of_its_time() {
+fn caller_retries_after_a_third_of_its_time_when_told_to_wait_longer() {
     let site = site(vec![class(0, 2_000, 100, 4_000)]);
-    let tally = refused_once(&site);
+    let tally = simulate_second_refused(&site);
     assert_eq!(tally.all().refused, 1.0);
     assert_eq!(tally.all().retry_refusals, 2.0);
 }
 
-/// The callers of the recorded sites give up then; their reports must stay as they are.
+/// Callers of the recorded sites give up instead; the reports of those sites must not change.
 #[test]
-fn it_gives_up_where_callers_of_the_site_do() {
+fn caller_told_to_wait_longer_gives_up_where_the_site_says_so() {
     let mut site = site(vec![class(0, 2_000, 100, 4_000)]);
     site.callers.shortens_long_waits = false;
-    let tally = refused_once(&site);
+    let tally = simulate_second_refused(&site);
     assert_eq!(tally.all().refused, 1.0);
     assert_eq!(tally.all().retry_refusals, 0.0);
 }
 
-/// Guards against a third try where callers of a site make two.
+/// Guards against a third try where the site allows two.
 #[test]
-fn a_caller_makes_as_many_tries_as_callers_of_the_site_do() {
+fn caller_makes_as_many_tries_as_the_site_allows() {
     let mut site = site(vec![class(0, 2_000, 100, 4_000)]);
     site.callers.max_tries = 2;
-    assert_eq!(refused_once(&site).all().retry_refusals, 1.0);
+    assert_eq!(simulate_second_refused(&site).all().retry_refusals, 1.0);
 }
 
-/// Guards against answers counted when they are ready: the second waits behind the first, and comes late.
+/// Guards against answers counted when they are ready: the second waits for the first and is late.
 #[test]
-fn an_answer_counts_from_when_it_was_handed_over_in_order() {
+fn pipelined_answer_counts_from_when_it_is_sent() {
     let site = site(vec![class(0, 200, 300, 900), class(1, 10, 100, 900)]);
     let arrivals = |connection: [usize; 2]| {
         let [first, second] = connection.map(Some);
         let first = Arrival {
             connection: first,
-            ..at(0, 0)
+            ..arrival_at(0, 0)
         };
         let second = Arrival {
             connection: second,
-            ..at(5, 1)
+            ..arrival_at(5, 1)
         };
         vec![first, second]
     };
@@ -138,9 +138,9 @@
     assert_eq!((shared.in_time, shared.late), (1.0, 1.0));
 }
 
-/// Guards against calls in turn that take no longer than calls at once.
+/// Guards against sequential calls that take no longer than concurrent ones.
 #[test]
-fn calls_in_turn_take_the_sum_of_their_times() {
+fn sequential_calls_take_the_sum_of_their_times() {
     let answered = |sequential: bool| {
         let mut outer = class(0, 10, 100, 900);
         outer.calls = Some(Calls {
@@ -151,31 +151,31 @@
         });
         let mut site = site(vec![outer, class(1, 40, 500, 900)]);
         site.services[1].slots = 3;
-        simulate(&site, vec![at(0, 0)]).all()
+        simulate(&site, vec![arrival_at(0, 0)]).all()
     };
     assert_eq!(answered(false).in_time, 1.0);
     assert_eq!(answered(true).late, 1.0);
 }
 
-/// Guards against callers whose way to their node is left out of their time.
+/// Guards against times that leave out the latency between caller and node.
 #[test]
-fn the_way_between_caller_and_node_counts() {
+fn latency_between_caller_and_node_counts() {
     let mut site = site(vec![class(0, 95, 100, 900)]);
-    assert_eq!(simulate(&site, vec![at(0, 0)]).all().in_time, 1.0);
+    assert_eq!(simulate(&site, vec![arrival_at(0, 0)]).all().in_time, 1.0);
     site.callers.latency_us = 8 * MILLISECOND;
-    assert_eq!(simulate(&site, vec![at(0, 0)]).all().late, 1.0);
+    assert_eq!(simulate(&site, vec![arrival_at(0, 0)]).all().late, 1.0);
 }
 
-/// Guards against tails that are drawn for no run, or change work by another factor.
+/// Guards against long-tail runs that are never drawn, or that use another factor.
 #[test]
-fn a_run_in_the_tail_takes_its_factor_longer() {
-    let with = |factor| {
-        let mut long = class(0, 20, 100, 900);
-        long.tail = Some(Tail { share: 1.0, factor });
-        simulate(&site(vec![long]), vec![at(0, 0)]).all()
+fn long_tail_run_takes_its_factor_longer() {
+    let all_with_tail = |factor| {
+        let mut class_with_tail = class(0, 20, 100, 900);
+        class_with_tail.tail = Some(Tail { share: 1.0, factor });
+        simulate(&site(vec![class_with_tail]), vec![arrival_at(0, 0)]).all()
     };
-    assert_eq!(with(4.0).in_time, 1.0);
-    assert_eq!(with(7.0).late, 1.0);
+    assert_eq!(all_with_tail(4.0).in_time, 1.0);
+    assert_eq!(all_with_tail(7.0).late, 1.0);
 }
 
 fn simulate_fault(kind: FaultKind, arrivals: Vec<Arrival>) -> Tally {
@@ -189,20 +189,30 @@
     world.simulate_tallied(&Load { arrivals }, Moment(0)..END)
 }
 
-/// Guards against upstreams that go on serving while they are gone, or don't come back.
+/// Guards against upstreams that serve while they are down, or that don't come back.
 #[test]
-fn an_upstream_that_is_gone_serves_nothing_until_it_is_back() {
-    let arrivals = || vec![at(500, 0), at(1_200, 0), at(2_500, 0)];
+fn upstream_that_is_down_serves_nothing_until_it_is_back() {
+    let arrivals = || {
+        vec![
+            arrival_at(500, 0),
+            arrival_at(1_200, 0),
+            arrival_at(2_500, 0),
+        ]
+    };
     let all = simulate_fault(FaultKind::Down(1.0), arrivals()).all();
     assert_eq!((all.in_time, all.refused), (2.0, 1.0));
     let none = simulate_fault(FaultKind::Down(0.0), arrivals()).all();
     assert_eq!(none.in_time, 3.0);
 }
 
-/// Guards against slowness that is left out, or goes on for ever.
+/// Guards against a slowdown that has no effect, or that never ends.
 #[test]
 fn work_takes_longer_while_all_upstreams_are_slow() {
-    let arrivals = vec![at(500, 0), at(1_200, 0), at(2_500, 0)];
+    let arrivals = vec![
+        arrival_at(500, 0),
+        arrival_at(1_200, 0),
+        arrival_at(2_500, 0),
+    ];
     let all = simulate_fault(FaultKind::Slow(4.0), arrivals).all();
     assert_eq!((all.in_time, all.late), (2.0, 1.0));
 }
--- a/components/model/tests/cold/main.rs
+++ b/components/model/tests/cold/main.rs
@@ -1,5 +1,6 @@
-//! A whole service is cold and gets more than its cold upstreams bear. Each that got what its slots held fell over, came
-//! back cold, and left its load to the others: the service stayed down for as long as requests came.
+//! All upstreams of a service are cold and receive more than cold upstreams sustain. An upstream
+//! that filled its slots crashed by overload and came back cold, while its load moved to the
+//! others: the service stayed down for as long as requests arrived.
 
 mod site;
 
@@ -7,17 +8,18 @@
 use names::{Moment, MILLISECOND, SECOND};
 
 const SEEDS: u64 = 3;
-/// From when callers come on.
+/// Start of the arrivals.
 const FROM: Moment = Moment(50 * MILLISECOND);
-/// Until when upstreams are cold that don't fall over.
+/// Until then upstreams that don't crash are cold.
 const COLD: Moment = Moment(3 * SECOND);
-/// Half a second more, in which what began while they were cold ends.
+/// Half a second later, when runs that began on cold upstreams have ended.
 const WARM: Moment = Moment(3_500 * MILLISECOND);
 const END: Moment = Moment(8 * SECOND);
 
-/// The time in which all is cold and the time afterwards, under `times` the load that cold upstreams bear.
-fn simulate(load_factor: f64, known: Option<u32>, seed: u64) -> (Report, Report) {
-    let site = site::site(known);
+/// Reports of the cold time and of the time afterwards; `load_factor` is relative to the load that
+/// cold upstreams sustain.
+fn simulate(load_factor: f64, declared: Option<u32>, seed: u64) -> (Report, Report) {
+    let site = site::site(declared);
     let load = site::load(&site, load_factor, FROM..END, seed);
     let windows = [FROM..COLD, WARM..END];
     let mut reports = World::new(site, seed).simulate_windows(&load, &windows);
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn a_service_that_is_all_cold_recovers_in_the_time_that_it_is_cold() {
+fn cold_service_recovers_by_the_time_it_is_warm() {
     for load_factor in [1.5, 2.0, 3.0] {
         for seed in 0..SEEDS {
             let (cold, after) = simulate(load_factor, Some(site::SUSTAINED_STARTS_PER_S), seed);
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn one_whose_nodes_know_of_no_bound_stays_down() {
+fn cold_service_without_a_declared_limit_stays_down() {
     for seed in 0..SEEDS {
         let (cold, after) = simulate(2.0, None, seed);
         assert!(cold.overload_crashes > 0 && after.overload_crashes > 0);
--- a/components/model/tests/cold/site.rs
+++ b/components/model/tests/cold/site.rs
@@ -1,4 +1,5 @@
-//! Three halls whose upstreams have all just started: one service has few, and bears little while they are cold.
+//! Three halls whose upstreams have all just started; one service has few upstreams, which sustain
+//! little while they are cold.
 
 use model::{Arrival, Callers, Calls, Class, ColdLimit, Load, Service, Site, SpeedModel, Vm};
 use names::{Moment, Name, MILLISECOND, SECOND};
@@ -6,16 +7,16 @@
 use rand::{Rng, SeedableRng};
 use std::ops::Range;
 
-/// Starts in a second that a cold upstream is given at most.
+/// Maximum starts per second at a cold upstream.
 pub const SUSTAINED_STARTS_PER_S: u32 = 30;
 const SLOTS: u32 = 11;
 /// Upstreams of each service in each of three halls.
 const UPSTREAMS: [[usize; 3]; 4] = [[8, 7, 7], [10, 11, 11], [4, 3, 2], [3, 2, 1]];
-/// Requests a second of each kind at which the service that has the fewest is asked, calls included, for what its cold
-/// upstreams bear.
+/// Requests per second of each class at which the service with the fewest upstreams receives, calls
+/// included, what its cold upstreams sustain.
 const REQUESTS_PER_S: [f64; 4] = [137.0, 141.0, 37.0, 104.0];
 
-/// The site; `known`: what its nodes know of what cold upstreams bear.
+/// The site; `declared`: the limit of starts at cold upstreams that its nodes know.
 pub fn site(declared: Option<u32>) -> Site {
     let services = ["portal", "booking", "dispatch", "clinic"];
     Site {
@@ -64,21 +65,21 @@
     vms
 }
 
-/// Callers come at random, the same number in each hall.
-pub fn load(site: &Site, times: f64, within: Range<Moment>, seed: u64) -> Load {
+/// Random arrivals, the same expected number in each hall.
+pub fn load(site: &Site, load_factor: f64, within: Range<Moment>, seed: u64) -> Load {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     for (class, per_second) in REQUESTS_PER_S.iter().enumerate() {
         let seconds = within.end.since(within.start) as f64 / SECOND as f64;
-        let count = (per_second * times * seconds) as usize;
+        let count = (per_second * load_factor * seconds) as usize;
         for _ in 0..count {
             let hall = rng.random_range(0..3);
-            let near: Vec<usize> = (0..site.vms.len())
+            let vms_in_hall: Vec<usize> = (0..site.vms.len())
                 .filter(|vm| site.vms[*vm].hall == hall)
                 .collect();
             arrivals.push(Arrival {
                 at: within.start + rng.random_range(0..within.end.since(within.start)),
-                vm: near[rng.random_range(0..near.len())],
+                vm: vms_in_hall[rng.random_range(0..vms_in_hall.len())],
                 class,
                 ..Arrival::default()
             });
--- a/components/model/tests/connection.rs
+++ b/components/model/tests/connection.rs
@@ -1,14 +1,13 @@
-//! Answers on a connection with pipelined requests. A caller takes the first answer for that of its first request: one
-//! that left too early would be another request's.
+//! Answers on a connection with pipelined requests. A caller matches answers to requests by their
+//! order, so an answer sent too early would be taken for that of another request.
 
 use model::Connection;
 use proptest::prelude::*;
 
-/// Something that happens on a connection.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Read,
-    /// The answer to the request with this number, among those read so far, is ready.
+    /// The answer to the request with this number is ready, if the request has been read.
     Ready(usize),
 }
 
@@ -18,13 +17,13 @@
 }
 
 proptest! {
-    /// Guards against answers that leave out of order, twice, or before they are ready.
+    /// Guards against answers that are sent out of order, twice, or before they are ready.
     #[test]
-    fn answers_leave_once_and_in_the_order_of_their_requests(steps in steps()) {
+    fn answers_are_sent_once_and_in_request_order(steps in steps()) {
         let mut connection = Connection::default();
         let mut read = 0;
         let mut ready = Vec::new();
-        let mut left = Vec::new();
+        let mut sent = Vec::new();
         for step in steps {
             match step {
                 Step::Read => {
@@ -33,7 +32,7 @@
                 }
                 Step::Ready(request) if request < read => {
                     ready.push(request);
-                    left.extend(connection.answer_ready(request, request));
+                    sent.extend(connection.answer_ready(request, request));
                 }
                 Step::Ready(request) => {
                     prop_assert!(connection.answer_ready(request, request).is_empty());
@@ -41,13 +40,13 @@
             }
             let due = (0..read).take_while(|request| ready.contains(request));
             let due: Vec<(usize, usize)> = due.map(|request| (request, request)).collect();
-            prop_assert_eq!(&left, &due);
-            prop_assert_eq!(connection.len(), read - left.len());
+            prop_assert_eq!(&sent, &due);
+            prop_assert_eq!(connection.len(), read - sent.len());
         }
     }
 }
 
-/// Guards against a second answer that replaces one which waits for its turn.
+/// Guards against a second answer that replaces one waiting to be sent.
 #[test]
 fn the_first_answer_to_a_request_counts() {
     let mut connection = Connection::default();
--- a/components/model/tests/demand.rs
+++ b/components/model/tests/demand.rs
@@ -4,8 +4,8 @@
 use names::{Moment, SECOND};
 use std::ops::Range;
 
-/// Drawn numbers are within this part of what a file asks for, by far more than chance allows for.
-const NEAR: f64 = 0.05;
+/// Maximum relative deviation of drawn rates from the declared ones, far above statistical noise.
+const MAX_DEVIATION: f64 = 0.05;
 
 fn open(load: &str) -> (Scenario, Vec<Arrival>) {
     let scenario = Scenario::open(load).expect("a load");
@@ -13,7 +13,7 @@
     (scenario, arrivals)
 }
 
-/// Callers a second within a time.
+/// Callers per second within a time range.
 fn rate(arrivals: &[Arrival], within: &Range<Moment>, counts: impl Fn(&Arrival) -> bool) -> f64 {
     let counted = arrivals
         .iter()
@@ -30,27 +30,31 @@
     Moment(0)..surge.from
 }
 
-fn assert_near(found: f64, wanted: f64, what: &str) {
-    let off = (found / wanted - 1.0).abs();
-    assert!(off < NEAR, "{what}: {found:.1}, wanted {wanted:.1}");
+fn assert_close(found: f64, expected: f64, what: &str) {
+    let deviation = (found / expected - 1.0).abs();
+    assert!(
+        deviation < MAX_DEVIATION,
+        "{what}: {found:.1}, expected {expected:.1}"
+    );
 }
 
-/// Guards against waves that are higher or lower than their file says, also while the halls' own demand moves.
+/// Guards against surges that are higher or lower than declared, also while the demand of the halls
+/// varies.
 #[test]
-fn a_wave_is_as_high_as_its_file_says() {
+fn capacity_surge_has_the_declared_rate() {
     for (load, times) in [("wave-1.3", 1.3), ("wave-1.6", 1.6), ("wave-2.5", 2.5)] {
         let (scenario, arrivals) = open(load);
         let capacity = scenario.site.capacity(&scenario.demand.shares);
         let surge = scenario.demand.surges[0];
         assert_eq!(surge.kind, SurgeKind::Capacity(times));
         let found = rate(&arrivals, &during(&surge), |_| true);
-        assert_near(found, times * capacity, load);
+        assert_close(found, times * capacity, load);
     }
 }
 
-/// Guards against halls whose demand stands still, or moves at the same time.
+/// Guards against halls whose demand is constant, or varies in phase.
 #[test]
-fn the_demand_of_each_hall_moves_after_the_one_before() {
+fn hall_demand_lags_behind_the_previous_hall() {
     let (mut scenario, _) = open("wave-1.3");
     scenario.demand.surges.clear();
     scenario.demand.wave.lag_us = 2 * SECOND;
@@ -62,7 +66,8 @@
             scenario.site.vms[arrival.vm].hall == hall
         })
     };
-    // A quarter of a period after the hall's own beginning there is its crest, after three quarters the trough.
+    // The crest is a quarter of a period after the start of the hall's own wave, the trough three
+    // quarters.
     for hall in 0..4 {
         let crest = 3 + 2 * hall as u64;
         let trough = (11 + 2 * hall as u64) % 15;
@@ -71,9 +76,9 @@
     }
 }
 
-/// Guards against a surge of one account that raises others, or counts against the usual requests of the others.
+/// Guards against an account's surge that raises the rate of other accounts, or that lowers it.
 #[test]
-fn an_account_at_ten_times_its_rate_raises_no_other() {
+fn account_surge_changes_no_other_account() {
     let (scenario, arrivals) = open("account-times-ten");
     let surge = scenario.demand.surges[0];
     let of = |within: &Range<Moment>, own: bool| {
@@ -81,14 +86,14 @@
             (arrival.account == Some(0)) == own
         })
     };
-    let (usual, now) = (before(&surge), during(&surge));
-    assert_near(of(&now, true), 10.0 * of(&usual, true), "the account");
-    assert_near(of(&now, false), of(&usual, false), "the others");
+    let (before, during) = (before(&surge), during(&surge));
+    assert_close(of(&during, true), 10.0 * of(&before, true), "the account");
+    assert_close(of(&during, false), of(&before, false), "the others");
 }
 
-/// The same for one class.
+/// Guards against a class's surge that raises the rate of other classes.
 #[test]
-fn a_class_at_twice_its_rate_raises_no_other() {
+fn class_surge_changes_no_other_class() {
     let (scenario, arrivals) = open("five-upstreams");
     let surge = scenario.demand.surges[0];
     let SurgeKind::Class(class, times) = surge.kind else {
@@ -97,15 +102,15 @@
     let of = |within: &Range<Moment>, own: bool| {
         rate(&arrivals, within, |arrival| (arrival.class == class) == own)
     };
-    let (usual, now) = (before(&surge), during(&surge));
-    assert_near(of(&now, true), times * of(&usual, true), "the class");
-    let others: f64 = of(&now, false) / of(&usual, false);
+    let (before, during) = (before(&surge), during(&surge));
+    assert_close(of(&during, true), times * of(&before, true), "the class");
+    let others: f64 = of(&during, false) / of(&before, false);
     assert!((0.75..1.25).contains(&others), "the others: {others}");
 }
 
-/// Guards against pipelined callers of two nodes or classes on one connection.
+/// Guards against connections shared by pipelined callers of two nodes or classes.
 #[test]
-fn a_connection_belongs_to_one_node_and_class() {
+fn connection_belongs_to_one_node_and_class() {
     let (_, arrivals) = open("wave-2.5");
     let mut owners = std::collections::HashMap::new();
     for arrival in &arrivals {
--- a/components/model/tests/loads/main.rs
+++ b/components/model/tests/loads/main.rs
@@ -1,14 +1,14 @@
-//! Loads are read from files, and mistakes in them are refused.
+//! Load and site files, and the errors of invalid ones.
 
 use model::{Policy, Scenario};
 use std::fmt::Write;
 
 const SITE: &str = include_str!("../../loads/site-s.ini");
-const GOOD: &str = "[load]\nsite = site-s.ini\nwarm_s = 1\nfor_s = 2\n[demand]\nbase = 0.5\n";
-const BAD: &str = include_str!("bad.ini");
-const BAD_SITE: &str = include_str!("bad-site.ini");
+const VALID: &str = "[load]\nsite = site-s.ini\nwarm_s = 1\nfor_s = 2\n[demand]\nbase = 0.5\n";
+const INVALID: &str = include_str!("bad.ini");
+const INVALID_SITE: &str = include_str!("bad-site.ini");
 
-/// Opens a load whose site is at hand under any name.
+/// Parses a load; any site name gives `site`.
 fn parse(text: &str, site: &str) -> String {
     match Scenario::parse("load.ini", text, |_| Ok(site.to_string())) {
         Ok(scenario) => format!("read {}", scenario.name),
@@ -16,17 +16,17 @@
     }
 }
 
-/// Guards against a load of the model that can't be read, and against figures of a site changed by mistake.
+/// Guards against a built-in load that can't be read, and against unintended changes to a site.
 #[test]
-fn the_loads_of_the_model_are_read() {
-    let mut read = String::new();
+fn built_in_loads_are_read() {
+    let mut summary = String::new();
     for name in model::names() {
         let scenario = Scenario::open(name).expect("a load");
         let site = &scenario.site;
         let capacity = site.capacity(&scenario.demand.shares);
         let callers = scenario.demand.draw(site, 0).arrivals.len();
         let _ = writeln!(
-            read,
+            summary,
             "{name}: {} VMs, {} services, {} classes, {} accounts, capacity {capacity:.0}/s, {callers} callers",
             site.vms.len(),
             site.services.len(),
@@ -34,41 +34,43 @@
             site.accounts.len(),
         );
     }
-    insta::assert_snapshot!(read);
+    insta::assert_snapshot!(summary);
 }
 
-/// Guards against mistakes that are passed over, and against reports without file, line or value.
+/// Guards against errors that are not reported, or reported without file, line or value.
 #[test]
-fn mistakes_in_a_load_are_refused_with_their_lines() {
-    insta::assert_snapshot!(parse(BAD, SITE));
+fn errors_in_a_load_are_reported_with_their_lines() {
+    insta::assert_snapshot!(parse(INVALID, SITE));
 }
 
 /// The same for sites.
 #[test]
-fn mistakes_in_a_site_are_refused_with_their_lines() {
-    insta::assert_snapshot!(parse(GOOD, BAD_SITE));
+fn errors_in_a_site_are_reported_with_their_lines() {
+    insta::assert_snapshot!(parse(VALID, INVALID_SITE));
 }
 
-/// Guards against a syntax error, a missing site, an unknown load or policy that ends in anything but a report.
+/// Guards against a syntax error, a missing site, or an unknown load or policy without a clear
+/// message.
 #[test]
-fn what_is_not_there_is_named() {
+fn missing_and_unknown_names_are_reported() {
     let unknown_load = Scenario::open("wave-9").expect_err("no load");
-    let no_file = Scenario::parse("load.ini", GOOD, |_| Err("no such file".to_string()));
+    let missing_site = Scenario::parse("load.ini", VALID, |_| Err("no such file".to_string()));
     let unknown_policy = Policy::by_name("best").expect_err("no policy");
-    let said = [
+    let messages = [
         unknown_load.to_string(),
-        no_file.expect_err("no site").to_string(),
+        missing_site.expect_err("no site").to_string(),
         unknown_policy.to_string(),
         parse("[load]\n", SITE),
         parse("[load\n", SITE),
-        parse(GOOD, ""),
+        parse(VALID, ""),
     ];
-    insta::assert_snapshot!(said.join("\n"));
+    insta::assert_snapshot!(messages.join("\n"));
 }
 
-/// Guards against a recording whose callers are not played, and against lines that don't fit the site.
+/// Guards against recorded callers that are not simulated, and against lines that don't fit the
+/// site.
 #[test]
-fn recorded_callers_come_in_place_of_drawn_ones() {
+fn recorded_callers_replace_drawn_ones() {
     let text = "[load]\nsite = site-s.ini\nrecorded = callers.csv\nwarm_s = 1\nfor_s = 2\n";
     let open = |callers: &str| {
         Scenario::parse("load.ini", text, |name| match name {
@@ -79,7 +81,7 @@
     let scenario = open("# ms, VM, class\n1000,0,0\n1500,84,3\n5000,3,1\n").expect("a load");
     let tally = scenario.simulate(Policy::default(), 0);
     assert_eq!(tally.all().in_time, 2.0);
-    let wrong = ["1000,0,0\n1000,85,0\n", "1000,0,99\n", "1000,x,0\n"];
-    let said = wrong.map(|callers| open(callers).expect_err("a mistake").to_string());
-    insta::assert_snapshot!(said.join("\n"));
+    let invalid = ["1000,0,0\n1000,85,0\n", "1000,0,99\n", "1000,x,0\n"];
+    let messages = invalid.map(|callers| open(callers).expect_err("an invalid line").to_string());
+    insta::assert_snapshot!(messages.join("\n"));
 }
--- a/components/model/tests/policies.rs
+++ b/components/model/tests/policies.rs
@@ -1,20 +1,20 @@
-//! What holds today on the loads of the model, for each policy that is a setting.
+//! Properties of the built-in loads under each policy that is a setting.
 
 use model::{names, Comparison, Policy, PolicyResult, Row, Scenario, Tally};
 use std::sync::LazyLock;
 
 const POLICIES: [&str; 2] = ["baseline", "from-first-try"];
-/// Refusals beside a free slot in a thousand refusals, at most.
+/// Maximum number of avoidable refusals in a thousand refusals.
 const MAX_AVOIDABLE_PER_MILLE: f64 = 20.0;
 
-/// Every load under both policies, on one seed.
+/// Every load under both policies, with one seed.
 static COMPARISONS: LazyLock<Vec<Comparison>> = LazyLock::new(|| {
-    let play = |name| {
+    let compare = |name| {
         let scenario = Scenario::open(name).expect("a load");
         let policies = POLICIES.map(|name| Policy::by_name(name).expect("a policy"));
         Comparison::run(&scenario, &policies, 1)
     };
-    names().into_iter().map(play).collect()
+    names().into_iter().map(compare).collect()
 });
 
 fn rows(comparison: &Comparison) -> [Row; 2] {
@@ -31,8 +31,8 @@
     })
 }
 
-/// Guards against a source of chance beside the seed, such as the order of a map: differences between policies would be
-/// noise.
+/// Guards against randomness that doesn't come from the seed, such as the order of a map:
+/// differences between policies would be noise.
 #[test]
 fn one_seed_gives_one_table() {
     for load in ["five-upstreams", "half-gone"] {
@@ -43,7 +43,8 @@
     }
 }
 
-/// Guards against second tries that take slots from requests that could be in time while a service is short of them.
+/// Guards against retries that take slots from requests that could be in time while a service is
+/// short of them.
 #[test]
 fn counting_from_the_first_try_answers_more_in_time_and_fewer_late() {
     for comparison in COMPARISONS.iter() {
@@ -58,9 +59,9 @@
     }
 }
 
-/// Guards against callers that are lost or counted twice in a table.
+/// Guards against callers that a table leaves out or counts twice.
 #[test]
-fn every_caller_ends_once() {
+fn every_caller_is_counted_once() {
     for (name, tally) in tallies() {
         for row in tally.classes.iter().chain(&tally.accounts) {
             let ended = row.in_time + row.late + row.refused + row.failed;
@@ -71,16 +72,17 @@
     }
 }
 
-/// Guards against second starts of requests while an earlier start is at work, where no policy makes any.
+/// Guards against attempts started while another attempt of the request is running; no policy here
+/// hedges.
 #[test]
-fn nothing_is_started_beside_itself() {
+fn no_request_has_two_attempts_running() {
     for (name, tally) in tallies() {
         assert_eq!(tally.hedged_starts, 0, "{name}");
     }
 }
 
-/// Guards against offers that are refused on arrival while a slot is free in which a run of usual length would end
-/// before the deadline.
+/// Guards against offers that are refused on arrival while a slot is free in which a run of typical
+/// duration would end before the deadline.
 #[test]
 fn no_offer_is_refused_on_arrival_beside_a_slot_that_it_may_use() {
     for (name, tally) in tallies() {
@@ -96,9 +98,9 @@
     }
 }
 
-/// Guards against more of such refusals than there are today, while the two tests above fail.
+/// Guards against more such refusals than there are today, while one of the two tests above fails.
 #[test]
-fn refusals_beside_a_free_slot_are_few() {
+fn avoidable_refusals_are_rare() {
     for (name, tally) in tallies() {
         let avoidable = tally.avoidable_refusals;
         let row = tally.all();
@@ -112,9 +114,9 @@
     }
 }
 
-/// Guards against pictures without a bar for each policy.
+/// Guards against charts without a bar for each policy.
 #[test]
-fn a_picture_has_a_bar_for_each_policy() {
+fn chart_has_a_bar_for_each_policy() {
     let svg = COMPARISONS[0].svg();
     assert!(svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"));
     assert_eq!(svg.matches("<rect").count(), POLICIES.len());
--- a/components/model/tests/replay/site.rs
+++ b/components/model/tests/replay/site.rs
@@ -1,11 +1,11 @@
-//! A site of 295 VMs in five halls, whose callers' requests were recorded on its nodes.
+//! A site of 295 VMs in five halls whose nodes recorded the requests of its callers.
 
 use model::{Callers, Calls, Class, Service, Site, SpeedModel, Vm};
 use names::{Moment, Name, MILLISECOND, SECOND};
 
 const SLOTS: u32 = 9;
 
-/// The site; `vms` has a line `hall,service,milliseconds until it serves` for each VM.
+/// The site; `vms` has a line `hall,service,milliseconds until it serves` per VM.
 pub fn site(vms: &str) -> Site {
     let services = ["portal", "booking", "dispatch", "clinic"];
     Site {
@@ -50,7 +50,7 @@
     }
 }
 
-/// What four kinds of callers ask, and the calls made for three of these.
+/// Four classes of callers' requests, and the calls made for three of them.
 fn classes() -> Vec<Class> {
     vec![
         outer(
@@ -87,7 +87,7 @@
     ]
 }
 
-/// `times_ms`: mean work, objective, caller's deadline, route's time.
+/// `times_ms`: mean work, objective, caller's deadline, timeout of the route.
 fn outer(
     name: &str,
     service: usize,
