--- a/components/model/src/demand.rs
+++ b/components/model/src/demand.rs
@@ -111,9 +111,9 @@
         Load { arrivals }
     }
 
-    /// Draws the callers of one hall and class as a Poisson process by thinning: draws candidates at
-    /// `max_rate` per second and keeps each with the probability that gives `rate` per second, times
-    /// the sum of the account weights.
+    /// Draws the callers of one hall and class as a Poisson process by thinning: draws candidates
+    /// at `max_rate` per second and keeps as many as give `rate` per second, times the sum of the
+    /// account weights.
     fn draw_class(
         &self,
         drawn: &mut DrawState<'_>,
@@ -132,9 +132,13 @@
                 return;
             }
             let weights = self.account_weights(drawn.site, at);
-            let accounts: f64 = weights.iter().sum();
-            let accounts = if weights.is_empty() { 1.0 } else { accounts };
-            if drawn.rng.random::<f64>() * max_rate <= rate(at) * accounts {
+            let account_factor: f64 = weights.iter().sum();
+            let account_factor = if weights.is_empty() {
+                1.0
+            } else {
+                account_factor
+            };
+            if drawn.rng.random::<f64>() * max_rate <= rate(at) * account_factor {
                 self.draw_caller(drawn, at, vms, class, &weights);
             }
         }
--- a/components/model/src/scenario.rs
+++ b/components/model/src/scenario.rs
@@ -135,8 +135,8 @@
     }
 }
 
-/// Normalised class shares: those of the load file if it has any, else the site's. In a load file,
-/// classes that are not listed have a share of 0.
+/// Class shares, normalised to a sum of 1: those of the load file if it has any, else the site's.
+/// Classes that are not listed in the load file then have a share of 0.
 fn shares(reader: &mut Reader, site_file: &SiteFile) -> Vec<f64> {
     let has_own = reader.sections().iter().any(|section| section == "shares");
     let shares = if has_own {
