--- a/examples/anatolia/crews.rhai
+++ b/examples/anatolia/crews.rhai
@@ -1,4 +1,4 @@
-// A dispatch of a crew may run at most once; a look-up may be repeated.
+// A crew dispatch may run at most once; lookups are repeatable.
 if method == "GET" {
     #{ repeatable: true, deadline_ms: 2000, priority: 3, attempts: 2 }
 } else if "x-urgent" in headers {
--- a/node/tests/node/fleet.rs
+++ b/node/tests/node/fleet.rs
@@ -18,7 +18,7 @@
 
 /// Maximum wait for anything to start or answer.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
-/// Next port for these tests.
+/// Port that [`free_address`] tries next.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(11_000);
 /// Key of the fleet in these tests.
 pub const FLEET_KEY: &str = "key-of-a-fleet-in-tests";
@@ -200,8 +200,8 @@
 
 /// An address with a port that no other test of this process gets. Ports are below the range from
 /// which the system assigns them, because a port of that range may be reassigned before it is used.
-/// Whether the port is free is not tested by binding it: a process that another test starts at that
-/// moment would inherit the socket and hold it until its program is loaded.
+/// The check doesn't bind the port: a process that another test starts at that moment would inherit
+/// the socket and keep it open until its program is loaded.
 fn free_address() -> SocketAddr {
     loop {
         let port = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
