--- a/components/audit/src/declarations.rs
+++ b/components/audit/src/declarations.rs
@@ -46,19 +46,13 @@
 
 /// Another node has a newer revision or list of VMs; `advice` is what this node does about it.
 /// `failures` requests for a copy have failed.
-pub fn peer_has_newer(
-    peer: &Name,
-    mine: &Summary,
-    theirs: &Summary,
-    advice: Advice,
-    failures: u32,
-) {
+pub fn peer_has_newer(peer: &Name, own: &Summary, theirs: &Summary, advice: Advice, failures: u32) {
     if allowed(Kind::Declarations) {
         tracing::info!(
             peer = %peer,
-            revision = mine.revision,
+            revision = own.revision,
             theirs = theirs.revision,
-            list_version = mine.list_version,
+            list_version = own.list_version,
             their_list_version = theirs.list_version,
             ?advice,
             missed = failures,
--- a/components/audit/src/requests.rs
+++ b/components/audit/src/requests.rs
@@ -41,8 +41,8 @@
         route = %route.name,
         service = %req.service,
         fingerprint = %req.fingerprint(),
-        caller = routed.caller.map_or("-", |named| named.service.as_str()),
-        caller_from = routed.caller.map_or("-", |named| named.origin.as_str()),
+        caller = routed.caller.map_or("-", |caller| caller.service.as_str()),
+        caller_from = routed.caller.map_or("-", |caller| caller.origin.as_str()),
         caller_told = routed.claimed_caller.unwrap_or("-"),
         account = req.account.as_ref().map_or("-", Name::as_str),
         revision = routed.revision,
@@ -63,16 +63,16 @@
     settings: Option<&Name>,
     registered: Option<&Name>,
 ) {
-    let service = |named: Option<&LocalService>| {
-        named
-            .map_or("-", |named| named.service.as_str())
+    let service = |caller: Option<&LocalService>| {
+        caller
+            .map_or("-", |caller| caller.service.as_str())
             .to_string()
     };
     if allowed(Kind::CallerName) {
         tracing::info!(
             from = service(before),
             to = service(next),
-            origin = next.map_or("-", |named| named.origin.as_str()),
+            origin = next.map_or("-", |caller| caller.origin.as_str()),
             settings = settings.map_or("-", Name::as_str),
             registered = registered.map_or("-", Name::as_str),
             "calls from this VM are made in another name"
--- a/components/audit/src/stats.rs
+++ b/components/audit/src/stats.rs
@@ -156,7 +156,7 @@
     counter!("drumwheel_records_offered_total", "by" => by).increment(1);
 }
 
-/// Outcome of a health probe, which asks the upstream for its slowdown.
+/// Outcome of a health probe, which queries the upstream for its slowdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// The upstream reported its slowdown.
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Ages, deadlines and leases are measured by the time since the VM started, including suspensions.
 //! The monotonic clock of the standard library stops while a VM is suspended, as do the timers of the
-//! runtime: data would appear younger than it is, and a deadline would pass too late by the whole
-//! suspension.
+//! runtime: data would appear younger than it is, and a deadline would pass too late by the
+//! duration of the suspension.
 
 use async_std::future::{timeout, TimeoutError};
 use names::{Moment, SECOND};
--- a/components/declarations/src/check_accounts.rs
+++ b/components/declarations/src/check_accounts.rs
@@ -6,7 +6,7 @@
 use sections::Reader;
 use std::sync::Arc;
 
-/// Maximum rate and burst of an account.
+/// Maximum rate (requests per second) and burst (requests) of an account.
 const MAX_REQUESTS: u64 = 1_000_000_000;
 const KEYS: &str = "digests of keys, each the first 32 hexadecimal digits of the SHA-256";
 /// Printed in place of a value that may contain a key.
--- a/components/declarations/src/steps.rs
+++ b/components/declarations/src/steps.rs
@@ -153,7 +153,7 @@
 }
 
 /// Splits a set into sections, for a check in steps; `None`: the set has more than one file, or its
-/// sections can't be told apart with certainty.
+/// sections can't be delimited with certainty.
 fn split_bundle(bundle: &Bundle, previous: Option<&Declarations>) -> Option<Parts> {
     let text = bundle.files.get(SERVICES_FILE)?;
     if bundle.files.len() > 1 {
--- a/components/keys/src/standing.rs
+++ b/components/keys/src/standing.rs
@@ -42,7 +42,8 @@
         self.members.len() != self.ranking.len()
     }
 
-    /// None in a group of one, where the first runs its keys itself.
+    /// The first in the ranking, whose node need not grant the key; none in a group of one, where
+    /// it runs its keys itself.
     fn exempt(&self) -> Option<&Name> {
         self.ranking.first().filter(|_| self.ranking.len() > 1)
     }
--- a/components/logs/src/buffer.rs
+++ b/components/logs/src/buffer.rs
@@ -87,7 +87,7 @@
             self.lock().writing = false;
             self.changed.notify_all();
             if written.is_err() {
-                // The output is closed for good: once the buffer is full, lines are dropped and
+                // A failed write is not retried: once the buffer is full, lines are dropped and
                 // counted.
                 return;
             }
--- a/components/platform/src/store.rs
+++ b/components/platform/src/store.rs
@@ -93,8 +93,7 @@
     /// The highest era that an answer or another node has reported; none where the store reports
     /// none.
     fn era(&self) -> Option<Era>;
-    /// Takes note of an era that another node reported: answers of an earlier one are errors from
-    /// now on.
+    /// Records an era that another node reported: answers of an earlier one are errors from now on.
     fn observe_era(&self, era: Era);
     /// Number of calls since the start.
     fn calls(&self) -> u64;
--- a/components/rollout/src/apply.rs
+++ b/components/rollout/src/apply.rs
@@ -65,7 +65,7 @@
         /// The other change.
         theirs: Option<Change>,
     },
-    /// The platform did not answer. Applying the plan again with the same id tells whether the change
+    /// The platform did not answer. Applying the plan again with the same id shows whether the change
     /// took effect.
     Unknown,
     /// The store holds an invalid head, or a head of the chain is missing.
@@ -82,7 +82,7 @@
         version: u64,
     },
     Writing {
-        left: Vec<(Digest, Vec<u8>)>,
+        unwritten: Vec<(Digest, Vec<u8>)>,
         version: Option<u64>,
         head: Box<Head>,
     },
@@ -125,12 +125,12 @@
             }
             (
                 State::Writing {
-                    left,
+                    unwritten,
                     version,
                     head,
                 },
                 ApplyEvent::Written | ApplyEvent::Conflict,
-            ) => self.write_next(left, version, head),
+            ) => self.write_next(unwritten, version, head),
             (State::WritingHead { head }, ApplyEvent::Written) => {
                 self.finish(ApplyOutcome::Accepted(head))
             }
@@ -226,29 +226,29 @@
             change: self.plan.change.clone(),
             files,
         };
-        let mut left: Vec<(Digest, Vec<u8>)> = objects
+        let mut unwritten: Vec<(Digest, Vec<u8>)> = objects
             .into_iter()
             .map(|(digest, bytes)| (digest, bytes.into_vec()))
             .collect();
         let bytes = head.to_bytes();
-        left.push((digest(&bytes), bytes));
-        left.reverse();
-        self.write_next(left, version, Box::new(head))
+        unwritten.push((digest(&bytes), bytes));
+        unwritten.reverse();
+        self.write_next(unwritten, version, Box::new(head))
     }
 
     fn write_next(
         &mut self,
-        mut left: Vec<(Digest, Vec<u8>)>,
+        mut unwritten: Vec<(Digest, Vec<u8>)>,
         version: Option<u64>,
         head: Box<Head>,
     ) -> ApplyAction {
-        let Some((digest, bytes)) = left.pop() else {
+        let Some((digest, bytes)) = unwritten.pop() else {
             let bytes = head.to_bytes();
             self.state = State::WritingHead { head };
             return ApplyAction::WriteHead(version, bytes);
         };
         self.state = State::Writing {
-            left,
+            unwritten,
             version,
             head,
         };
--- a/components/rollout/src/fetch.rs
+++ b/components/rollout/src/fetch.rs
@@ -2,16 +2,16 @@
 
 use names::{Moment, Name, MILLISECOND};
 
-/// Time that a node waits for the store's own answer before it asks a peer for a small revision, in
+/// Time that a node waits for the store's answer before it requests a small revision from a peer, in
 /// microseconds. A sixth of the shortest time within which a change has to be in force (2 s). A watch at
 /// the store delivers a small revision within milliseconds of the first report of it, unless its
 /// connection is unresponsive.
 pub const SMALL_STORE_WAIT_US: u64 = 333 * MILLISECOND;
-/// The same for a large revision. On a link of 10 Mbit/s the store's answer of 0.74 MB takes 0.6 s, and
-/// a second copy at the same time would double that.
+/// The same time for a large revision, in microseconds. On a link of 10 Mbit/s the
+/// store's answer of 0.74 MB takes 0.6 s, and a second copy at the same time would double that.
 pub const STORE_WAIT_US: u64 = 1_000 * MILLISECOND;
-/// Timeout of a small copy, in microseconds, after which another node is asked. A sixth of the same 2 s;
-/// 32 KB take 26 ms on a link of 10 Mbit/s.
+/// Timeout of a small copy, in microseconds, after which another peer is tried. A sixth of the same
+/// 2 s; 32 KB take 26 ms on a link of 10 Mbit/s.
 pub const SMALL_FETCH_TIMEOUT_US: u64 = 333 * MILLISECOND;
 /// After this many small copies that timed out the store is read: two thirds of the 2 s are left then.
 const MAX_SMALL_COPIES: u32 = 2;
@@ -37,9 +37,9 @@
 }
 
 impl LocalState {
-    /// Whether this node waits for the store before it asks a peer. A node without a revision can't serve
-    /// requests and asks at once: when half of 13 nodes restart while the store is unresponsive, waiting
-    /// would cost 0.05 of the value of all requests.
+    /// Whether this node waits for the store before it requests a copy from a peer. A node
+    /// without a revision can't serve requests and doesn't wait: when half of 13 nodes restart while
+    /// the store is unresponsive, waiting would cost 0.05 of the value of all requests.
     fn waits_for_store(self) -> bool {
         self.awaits_store && self.revision > 0
     }
@@ -48,7 +48,7 @@
 /// What to do after a peer reported something newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Advice {
-    /// Ask this peer for it.
+    /// Request it from this peer.
     Ask,
     /// Read it from the store: it is large, or peers did not send it in time.
     Read,
@@ -60,15 +60,15 @@
 
 #[derive(Debug)]
 struct PendingFetch {
-    /// The peer that was asked; none for the store.
+    /// The peer from which a copy was requested; none for the store.
     peer: Option<Name>,
     times_out_at: Moment,
 }
 
-/// Fetches of newer content. Peers send content only on request, and one peer is asked at a time: when
-/// each of the 20 nodes of a hall sent its copy to a joining node, the 8 MB kept that node's link busy for
-/// up to 20 s. A fetch has a timeout within the time that a change may take, since the peer may be paused
-/// or its answers may be lost.
+/// Fetches of newer content. Peers send content only on request, and a node requests it from one
+/// peer at a time: when each of the 20 nodes of a hall sent its copy to a joining node, the 8 MB kept
+/// that node's link busy for up to 20 s. A fetch has a timeout within the time that a change may take,
+/// since the peer may be paused or its answers may be lost.
 #[derive(Debug, Default)]
 pub struct Fetch {
     pending: Option<PendingFetch>,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A read of the store failed: peers are asked from now on.
+    /// Records that a read of the store failed: copies are requested from peers from now on.
     pub fn store_failed(&mut self) {
         self.store_failed = true;
         if self
--- a/components/rollout/src/made.rs
+++ b/components/rollout/src/made.rs
@@ -1,4 +1,4 @@
-//! Revisions that were not checked yet.
+//! Revisions that have not been checked yet.
 
 use crate::head::{split_sections, Change, Head};
 use crate::node::Configuration;
@@ -9,8 +9,8 @@
 #[derive(Debug)]
 pub struct UncheckedRevision {
     pub(crate) configuration: Configuration,
-    /// The files, if this node split them into the content objects itself. The objects need not be
-    /// digested again and joined then.
+    /// The files, if this node split them into the content objects itself. Then the objects need
+    /// not be digested again and joined.
     pub(crate) bundle: Option<Bundle>,
 }
 
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -31,7 +31,7 @@
 /// Default time within which a change must be in force on all nodes: the requirement of deployments
 /// for their whole fleet.
 const DEFAULT_IN_FORCE_WITHIN_MS: u64 = 4_000;
-/// Minimum length of the fleet key.
+/// Minimum length of the fleet key, in bytes.
 const MIN_KEY_LENGTH: usize = 16;
 
 /// Format of log lines.
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -68,7 +68,7 @@
     Closed,
     /// The listening socket is being closed, which resets connections that wait to be accepted.
     Closing,
-    /// The error does not tell.
+    /// The error does not show the state.
     Unknown,
 }
 
@@ -95,8 +95,8 @@
     clock: Clock,
     address: Cell<SocketAddr>,
     max_body_bytes: usize,
-    /// Idle connections to keep.
-    warm: Cell<usize>,
+    /// Maximum number of idle connections to keep.
+    max_idle: Cell<usize>,
     close_delimited: CloseDelimited,
     idle: RefCell<Vec<Idle>>,
     /// Incarnations of the upstream so far. A connection to an earlier one is never reused for a
@@ -105,10 +105,10 @@
 }
 
 impl Pool {
-    /// Creates an empty pool that keeps up to `warm` idle connections.
+    /// Creates an empty pool that keeps up to `max_idle` idle connections.
     pub fn new(
         address: SocketAddr,
-        warm: usize,
+        max_idle: usize,
         max_body_bytes: usize,
         allow_close_delimited: bool,
     ) -> Pool {
@@ -121,7 +121,7 @@
             clock: Clock::start(),
             address: Cell::new(address),
             max_body_bytes,
-            warm: Cell::new(warm),
+            max_idle: Cell::new(max_idle),
             close_delimited,
             idle: RefCell::new(Vec::new()),
             incarnation_count: Cell::new(0),
@@ -129,9 +129,9 @@
     }
 
     /// Switches to a new incarnation of the upstream. Idle connections to the previous one are dropped.
-    pub fn upstream_replaced(&self, address: SocketAddr, warm: usize) {
+    pub fn upstream_replaced(&self, address: SocketAddr, max_idle: usize) {
         self.address.set(address);
-        self.warm.set(warm);
+        self.max_idle.set(max_idle);
         self.idle.borrow_mut().clear();
         self.incarnation_count.set(self.incarnation_count.get() + 1);
     }
@@ -160,8 +160,8 @@
                 }
                 // The upstream may have run the request anyway, and may have responded.
                 Either::Left((Err(_), reading)) => (reading.await, false),
-                // The response arrived before the request was sent completely. The upstream would take
-                // the next request on this connection for the rest of the body.
+                // The response arrived before the request was sent completely. The upstream would
+                // read the next request on this connection as the rest of the body.
                 Either::Right((result, _)) => (result, false),
             }
         };
@@ -177,7 +177,7 @@
 
     /// Opens connections until there are as many idle ones as the pool keeps.
     pub async fn warm_up(&self) {
-        while self.idle.borrow().len() < self.warm.get() {
+        while self.idle.borrow().len() < self.max_idle.get() {
             let Ok(stream) = self.connect().await else {
                 return;
             };
@@ -270,7 +270,7 @@
 
     fn release(&self, connection: Connection<TcpStream>, usable_for: Duration) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < self.warm.get().max(1) {
+        if idle.len() < self.max_idle.get().max(1) {
             idle.push(Idle {
                 since: self.clock.now(),
                 usable_for,
--- a/components/watch/src/duty.rs
+++ b/components/watch/src/duty.rs
@@ -234,7 +234,7 @@
         false
     }
 
-    /// The platform held nothing newer than this node does at `as_of`.
+    /// Records that the platform held nothing newer at `as_of` than this node does.
     pub fn on_confirmed(&mut self, as_of: Moment) {
         if self.freshness.confirm(as_of) {
             let max_us = self.timing.confirm_jitter_us;
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -109,7 +109,7 @@
         /// The attempt.
         id: AttemptId,
     },
-    /// Asks the receiver for a sign of life. Counts against the measuring budget.
+    /// Checks whether the receiver is alive. Counts against the measuring budget.
     Heartbeat,
     /// The reply to [`Frame::Heartbeat`].
     Alive {
@@ -142,8 +142,8 @@
         /// The key.
         key: KeyHash,
     },
-    /// A new boot to the other nodes of its groups: asks for the keys that they know. They accept no
-    /// further key from the sender's previous boots.
+    /// A new boot to the other nodes of its groups: query for the keys that they know. They accept
+    /// no further key from the sender's previous boots.
     Recover {
         /// ID of the query.
         id: AttemptId,
--- a/standins/src/bin/standin-relay.rs
+++ b/standins/src/bin/standin-relay.rs
@@ -21,14 +21,14 @@
     task::block_on(async move {
         let listener = TcpListener::bind(args.listen).await?;
         loop {
-            let (near, _) = listener.accept().await?;
-            let Ok(far) = TcpStream::connect(args.to).await else {
+            let (client, _) = listener.accept().await?;
+            let Ok(target) = TcpStream::connect(args.to).await else {
                 continue;
             };
-            near.set_nodelay(true)?;
-            far.set_nodelay(true)?;
-            task::spawn_local(copy(near.clone(), far.clone()));
-            task::spawn_local(copy(far, near));
+            client.set_nodelay(true)?;
+            target.set_nodelay(true)?;
+            task::spawn_local(copy(client.clone(), target.clone()));
+            task::spawn_local(copy(target, client));
         }
     })
 }
--- a/standins/src/upstream.rs
+++ b/standins/src/upstream.rs
@@ -204,9 +204,9 @@
 
     async fn simulate_work(&self) {
         let draw: f64 = self.rng.lock().expect("no holder panics").random();
-        let noise = -(1.0 - draw).ln();
+        let exponential = -(1.0 - draw).ln();
         let mean = self.cfg.service_us as f64;
-        let mut us = mean * (1.0 - self.cfg.noise) + mean * self.cfg.noise * noise;
+        let mut us = mean * (1.0 - self.cfg.noise) + mean * self.cfg.noise * exponential;
         us *= self.switches.slow_percent.load(Ordering::Relaxed) as f64 / 100.0;
         if self.served.load(Ordering::Relaxed) < self.cfg.cold.1 {
             us *= self.cfg.cold.0;
