--- a/components/rollout/src/fetch.rs
+++ b/components/rollout/src/fetch.rs
@@ -7,8 +7,8 @@
 /// the store delivers a small revision within milliseconds of the first report of it, unless its
 /// connection is unresponsive.
 pub const SMALL_STORE_WAIT_US: u64 = 333 * MILLISECOND;
-/// The same time for a large revision, in microseconds. On a link of 10 Mbit/s the
-/// store's answer of 0.74 MB takes 0.6 s, and a second copy at the same time would double that.
+/// The same time for a large revision, in microseconds. On a link of 10 Mbit/s the store's answer of
+/// 0.74 MB takes 0.6 s, and a second copy at the same time would double that.
 pub const STORE_WAIT_US: u64 = 1_000 * MILLISECOND;
 /// Timeout of a small copy, in microseconds, after which another peer is tried. A sixth of the same
 /// 2 s; 32 KB take 26 ms on a link of 10 Mbit/s.
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -95,8 +95,9 @@
     clock: Clock,
     address: Cell<SocketAddr>,
     max_body_bytes: usize,
-    /// Maximum number of idle connections to keep.
-    max_idle: Cell<usize>,
+    /// Number of idle connections that are opened in advance. Up to this many, but at least one, are
+    /// kept for reuse.
+    idle_target: Cell<usize>,
     close_delimited: CloseDelimited,
     idle: RefCell<Vec<Idle>>,
     /// Incarnations of the upstream so far. A connection to an earlier one is never reused for a
@@ -105,10 +106,10 @@
 }
 
 impl Pool {
-    /// Creates an empty pool that keeps up to `max_idle` idle connections.
+    /// Creates an empty pool that keeps up to `idle_target` idle connections.
     pub fn new(
         address: SocketAddr,
-        max_idle: usize,
+        idle_target: usize,
         max_body_bytes: usize,
         allow_close_delimited: bool,
     ) -> Pool {
@@ -121,7 +122,7 @@
             clock: Clock::start(),
             address: Cell::new(address),
             max_body_bytes,
-            max_idle: Cell::new(max_idle),
+            idle_target: Cell::new(idle_target),
             close_delimited,
             idle: RefCell::new(Vec::new()),
             incarnation_count: Cell::new(0),
@@ -129,9 +130,9 @@
     }
 
     /// Switches to a new incarnation of the upstream. Idle connections to the previous one are dropped.
-    pub fn upstream_replaced(&self, address: SocketAddr, max_idle: usize) {
+    pub fn upstream_replaced(&self, address: SocketAddr, idle_target: usize) {
         self.address.set(address);
-        self.max_idle.set(max_idle);
+        self.idle_target.set(idle_target);
         self.idle.borrow_mut().clear();
         self.incarnation_count.set(self.incarnation_count.get() + 1);
     }
@@ -177,7 +178,7 @@
 
     /// Opens connections until there are as many idle ones as the pool keeps.
     pub async fn warm_up(&self) {
-        while self.idle.borrow().len() < self.max_idle.get() {
+        while self.idle.borrow().len() < self.idle_target.get() {
             let Ok(stream) = self.connect().await else {
                 return;
             };
@@ -270,7 +271,7 @@
 
     fn release(&self, connection: Connection<TcpStream>, usable_for: Duration) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < self.max_idle.get().max(1) {
+        if idle.len() < self.idle_target.get().max(1) {
             idle.push(Idle {
                 since: self.clock.now(),
                 usable_for,
--- a/components/watch/src/duty.rs
+++ b/components/watch/src/duty.rs
@@ -193,18 +193,18 @@
         }
     }
 
-    /// This node starts a query.
+    /// Records that this node starts a query.
     pub fn on_query(&mut self) {
         self.state = State::Querying;
     }
 
-    /// The platform answered; this node watches it from now on.
+    /// Records that the platform answered; this node watches it from now on.
     pub fn on_answer(&mut self) {
         self.state = State::Watching;
         self.pause_us = MIN_PAUSE_US;
     }
 
-    /// The platform did not answer. Another node makes the next try, if there is one.
+    /// Records that the platform did not answer. Another node makes the next try, if there is one.
     pub fn on_failure(&mut self, now: Moment) {
         self.state = State::Idle;
         self.need = Need::FirstWatcher;
--- a/standins/src/bin/standin-caller.rs
+++ b/standins/src/bin/standin-caller.rs
@@ -197,8 +197,8 @@
     } = request;
     let at_us = at.as_micros();
     let tries = if keyed { shared.args.tries } else { 1 };
-    for attempt in 0..tries.max(1) {
-        let node = (first_node + attempt as usize) % shared.args.to.len();
+    for try_index in 0..tries.max(1) {
+        let node = (first_node + try_index as usize) % shared.args.to.len();
         let call = build_call(&shared.args, &id, &host, post, keyed);
         let timeout = Duration::from_millis(shared.args.deadline_ms) + ANSWER_TIMEOUT_MARGIN;
         let result = async_std::future::timeout(timeout, send(&shared, node, &call)).await;
@@ -208,10 +208,10 @@
         let kind = if post { "once" } else { "repeatable" };
         shared.ledger.append(&format!(
             "{id} {kind} {outcome} {reason} {us} {} {at_us} {host}",
-            attempt + 1
+            try_index + 1
         ));
         count_outcome(&shared, &outcome, &reason, us);
-        let should_retry = outcome != "answered" && attempt + 1 < tries;
+        let should_retry = outcome != "answered" && try_index + 1 < tries;
         if !should_retry {
             return;
         }
