--- a/components/accounts/src/digest.rs
+++ b/components/accounts/src/digest.rs
@@ -23,8 +23,8 @@
         KeyDigest(prefix)
     }
 
-    /// The key of the hash table that holds digests; the few digests that share it are compared in
-    /// full.
+    /// The key under which a hash table stores the digest. Digests with the same key are rare and are
+    /// compared in full.
     pub(crate) fn table_key(&self) -> [u8; 8] {
         let mut table_key = [0; 8];
         table_key.copy_from_slice(&self.0[..8]);
--- a/components/entry/src/choice.rs
+++ b/components/entry/src/choice.rs
@@ -9,16 +9,17 @@
 use rand::Rng;
 use std::collections::HashMap;
 
-/// Reports of a short queue say nothing about free capacity once they are older than this.
+/// Time for which a report shows whether slots are free, in microseconds; longer if its queue takes
+/// longer to empty.
 const FULLNESS_TTL_US: u64 = 20 * MILLISECOND;
-/// Reports say nothing about service time and error rate once they are older than this.
+/// Maximum age of a report whose service time and error rate are used, in microseconds.
 const SLOWNESS_TTL_US: u64 = 1_000 * MILLISECOND;
-/// How long an upstream counts as draining after it was last reported so.
+/// How long an upstream counts as draining after it was last reported so, in microseconds.
 const DRAINING_TTL_US: u64 = 5_000 * MILLISECOND;
-/// Upper bound on a reported wait for a request limit. An answer to another node's request can lift
-/// the limit meanwhile.
+/// Upper bound on a reported wait for a request limit, in microseconds. An answer to another node's
+/// request can lift the limit meanwhile.
 const MAX_LIMIT_WAIT_US: u64 = 1_000 * MILLISECOND;
-/// Service time assumed where no report gives one.
+/// Service time assumed where no report gives one, in microseconds.
 const DEFAULT_SERVICE_US: u64 = 5 * MILLISECOND;
 /// Cost of an error, in microseconds of waiting.
 const ERROR_COST_US: f64 = 100.0 * MILLISECOND as f64;
--- a/components/entry/src/hedging.rs
+++ b/components/entry/src/hedging.rs
@@ -2,8 +2,8 @@
 
 use names::{AttemptId, Name, MILLISECOND};
 
-/// Time that an entry node reserves for the way back, so that a refusal at the deadline still
-/// arrives in time: two crossings between halls and some slack, in microseconds.
+/// Time that an entry node reserves for the return, so that a refusal at the deadline still arrives
+/// in time: two crossings between halls and some slack, in microseconds.
 pub const RETURN_TIME_US: u64 = 3 * MILLISECOND;
 
 /// A decision about a hedged attempt, or its result.
--- a/components/era/src/place.rs
+++ b/components/era/src/place.rs
@@ -29,7 +29,7 @@
 }
 
 impl Position {
-    /// Whether this is the default, which stands for no position.
+    /// Whether this is the default value, which means that no position is known.
     pub fn is_none(&self) -> bool {
         *self == Position::default()
     }
--- a/components/evacuation/src/duty.rs
+++ b/components/evacuation/src/duty.rs
@@ -69,7 +69,7 @@
             }
             _ => {}
         }
-        // A rewritten evacuation is in effect by itself, until it is lifted.
+        // An evacuation that operators have rewritten no longer needs the grace period.
         self.retained
             .retain(|hall, until| *until > now && !reported.halls.contains(hall));
         self.known = Some(reported);
--- a/components/home/src/attempt.rs
+++ b/components/home/src/attempt.rs
@@ -6,12 +6,12 @@
 use names::{AttemptId, Moment, Name, MILLISECOND};
 
 /// Fraction of its objective that an attempt waits for a slot. A service that is short of slots answers
-/// more requests in time if it refuses early: with 0.12, 0.4 or all time but that of one run, the value
-/// of answers is 0.02 to 0.06 lower under high load.
+/// more requests in time if it refuses early: with 0.12, with 0.4, or with the entire objective less the
+/// time of one run, the value of answers is 0.02 to 0.06 lower under high load.
 const MAX_WAIT_FRACTION: f64 = 0.22;
 
-/// How long an attempt waits that can't be answered within its objective any more, in microseconds:
-/// enough for a probe that finds out whether it can start immediately.
+/// How long an attempt waits for a slot when it can't be answered within its objective any more, in
+/// microseconds: enough for a probe that shows whether it can start immediately.
 const OVERDUE_WAIT_US: u64 = 20 * MILLISECOND;
 
 /// State of an attempt that has arrived and is not admitted yet.
--- a/components/home/src/cold.rs
+++ b/components/home/src/cold.rs
@@ -83,7 +83,7 @@
 /// Whether another attempt may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ColdAdmission {
-    /// It may.
+    /// No limit is declared, or the counted starts are below it.
     Free,
     /// The upstream may be cold: nothing starts before this moment unless it reports that it is warm.
     Unconfirmed(Moment),
@@ -111,7 +111,7 @@
         self.capacity = capacity;
     }
 
-    /// Records that another incarnation of the upstream has taken the place of the last one.
+    /// Records that another incarnation has replaced the upstream.
     pub fn replaced(&mut self, prior: PriorStarts) {
         if prior == PriorStarts::SameIdentity {
             return;
@@ -172,15 +172,15 @@
         }
         // The excess starts, oldest first, have to leave the window.
         let over = (used + 1).saturating_sub(max_starts);
-        let freed = match over.checked_sub(1) {
+        let free_at = match over.checked_sub(1) {
             None => now,
             Some(last) => *counted.get(last).unwrap_or(&now) + COLD_WINDOW_US,
         };
-        let freed = prior_until.map_or(freed, |until| freed.max(until));
+        let free_at = prior_until.map_or(free_at, |until| free_at.max(until));
         if self.is_cold(now) {
-            ColdAdmission::Full(freed)
+            ColdAdmission::Full(free_at)
         } else {
-            ColdAdmission::Unconfirmed(freed)
+            ColdAdmission::Unconfirmed(free_at)
         }
     }
 
@@ -221,8 +221,8 @@
             PriorStarts::UnlessYoung { until, .. } | PriorStarts::Until(until) => until,
         };
         let is_warm_since = self.warm_at.is_some_and(|warm_at| warm_at >= until);
-        let freed = until + COLD_WINDOW_US;
-        (!is_warm_since && freed > now).then_some(freed)
+        let free_at = until + COLD_WINDOW_US;
+        (!is_warm_since && free_at > now).then_some(free_at)
     }
 }
 
--- a/components/home/src/depth.rs
+++ b/components/home/src/depth.rs
@@ -15,22 +15,22 @@
 #[derive(Debug, Clone, Default)]
 pub struct DepthTracker {
     deepest: u32,
-    seen: Moment,
+    seen_at: Moment,
 }
 
 impl DepthTracker {
     /// Records the level of an offer.
     pub fn observe(&mut self, now: Moment, level: u32) {
-        let is_expired = now.since(self.seen) > LEVEL_RETENTION_US;
+        let is_expired = now.since(self.seen_at) > LEVEL_RETENTION_US;
         if level >= self.deepest || is_expired {
             self.deepest = level;
-            self.seen = now;
+            self.seen_at = now;
         }
     }
 
     /// The concurrency limit for a call of `level`, given the overall `limit`.
     pub fn limit(&self, now: Moment, level: u32, limit: u32) -> u32 {
-        if now.since(self.seen) > LEVEL_RETENTION_US {
+        if now.since(self.seen_at) > LEVEL_RETENTION_US {
             return limit;
         }
         let deeper = self.deepest.saturating_sub(level);
--- a/components/home/src/duty.rs
+++ b/components/home/src/duty.rs
@@ -26,7 +26,7 @@
 const MAX_QUEUED_PER_SLOT: usize = 8;
 /// Minimum retry-after time of a refusal, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 50;
-/// While the upstream is down, one offer per interval is admitted to test it.
+/// While the upstream is down, one offer per interval is admitted to test it; in microseconds.
 const DOWN_RETRY_INTERVAL_US: u64 = SECOND / 4;
 
 /// The home duty of one upstream. `A` is the type of a complete answer.
--- a/components/home/src/duty/admission.rs
+++ b/components/home/src/duty/admission.rs
@@ -64,7 +64,7 @@
         actions
     }
 
-    /// Queues an attempt or refuses it. With `displaces`, it takes the place of another one in a full
+    /// Queues an attempt or refuses it. With `displaces`, it replaces another one in a full
     /// queue. Returns whether it was queued.
     fn admit(
         &mut self,
--- a/components/home/src/duty/holding.rs
+++ b/components/home/src/duty/holding.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether another attempt may start after `ahead` others, given that the upstream may be cold. Where it
-    /// can't be probed, an unconfirmed answer is a no until the counted starts leave the window.
+    /// can't be probed, an unconfirmed result counts as full until the counted starts leave the window.
     pub(super) fn cold_admission(&self, now: Moment, ahead: usize) -> ColdAdmission {
         match self.cold_limiter.admission(now, ahead) {
             ColdAdmission::Unconfirmed(until) if !self.can_probe_now(now) => {
--- a/components/home/src/fair.rs
+++ b/components/home/src/fair.rs
@@ -1,6 +1,6 @@
 //! Fair shares among client accounts: start-time fair queueing of the attempts of one rank and level.
 //!
-//! Load pattern: one account sends ten times its usual rate, and its attempts fill the queues of a
+//! Load pattern: one account sends ten times its normal rate, and its attempts fill the queues of a
 //! service. Ordered by deadline alone, all other accounts would be served as rarely as that one.
 //!
 //! The next attempt of an account has the start tag max(virtual time, finish tag of the account's last
--- a/components/home/src/limit.rs
+++ b/components/home/src/limit.rs
@@ -17,9 +17,9 @@
 const SLOW_FACTOR: f64 = 2.0;
 /// An attempt in flight counts as stalled when its age exceeds the baseline by this factor.
 const STALL_FACTOR: f64 = 4.0;
-/// Lower bound of baselines, so that short noise is not taken for slowness.
+/// Lower bound of baselines, in microseconds, so that short noise is not taken for slowness.
 const MIN_BASELINE_US: f64 = 500.0;
-/// Service time assumed before the first completion.
+/// Service time assumed before the first completion, in microseconds.
 const INITIAL_SERVICE_US: f64 = 5.0 * MILLISECOND as f64;
 /// A slow upstream keeps at least this share of its slots: when all upstreams of a service are
 /// slow, for example because they call a slow service, there is no better upstream to use instead.
@@ -83,7 +83,7 @@
     /// Recent service time divided by the baseline.
     ratio: f64,
     baselines_us: HashMap<Class, f64>,
-    errors: f64,
+    error_rate: f64,
     ramp: f64,
     cold_since: Option<Moment>,
 }
@@ -96,7 +96,7 @@
             recent_us: INITIAL_SERVICE_US,
             ratio: 1.0,
             baselines_us: HashMap::new(),
-            errors: 0.0,
+            error_rate: 0.0,
             ramp: cold_slots(slots),
             cold_since: None,
         }
@@ -143,7 +143,7 @@
     /// service below fails, all upstreams of this one return errors, and fewer slots would make the
     /// failure worse. Entry duties compare the error rates of upstreams instead.
     pub fn errors_permille(&self) -> u32 {
-        (self.errors * 1000.0) as u32
+        (self.error_rate * 1000.0) as u32
     }
 
     /// Slots opened so far, by completions and by elapsed time.
@@ -170,7 +170,7 @@
     }
 
     fn record_success(&mut self, class: Class, service_us: f64) {
-        self.errors -= self.errors * ERROR_WEIGHT;
+        self.error_rate -= self.error_rate * ERROR_WEIGHT;
         self.ramp = (self.ramp + RAMP_STEP).min(self.slots as f64);
         if self.baselines_us.is_empty() {
             self.recent_us = service_us;
@@ -191,7 +191,7 @@
     }
 
     fn record_error(&mut self) {
-        self.errors += (1.0 - self.errors) * ERROR_WEIGHT;
+        self.error_rate += (1.0 - self.error_rate) * ERROR_WEIGHT;
     }
 }
 
--- a/components/home/src/message.rs
+++ b/components/home/src/message.rs
@@ -158,7 +158,7 @@
     Quarantined,
     /// The request carries no API key, or one that belongs to no client account.
     Key,
-    /// The API key may have been revoked without this node knowing.
+    /// The API key may have been withdrawn without this node knowing.
     StaleKeys,
     /// The client account has used up its limit.
     OverLimit,
--- a/components/home/src/pace.rs
+++ b/components/home/src/pace.rs
@@ -60,7 +60,7 @@
     /// Whether reports have been frequent enough to measure the length of the phase.
     is_measured: bool,
     /// The smallest slowdown reported in the phase, in hundredths.
-    smallest: u32,
+    min_percent: u32,
 }
 
 /// The reported slowdown of one upstream, and what is learned from it.
@@ -73,9 +73,10 @@
     phase: Option<Phase>,
     /// The slowdown in slow phases relative to the baseline; none before the first phase.
     slow_factor: Option<f64>,
-    /// Total length of the phases that were measured to their end, in microseconds, and their number.
+    /// Total length of the phases that were measured to their end, in microseconds, and their number;
+    /// both are halved above [`AVERAGED_PHASES`].
     ended_us: f64,
-    ended: f64,
+    ended_phases: f64,
     /// Until when the last report counts as fresh because a probe was denied.
     trusted_until: Moment,
     probing_suspended_until: Moment,
@@ -110,13 +111,13 @@
         let phase = self.phase.get_or_insert(Phase {
             since: now,
             is_measured: true,
-            smallest: percent,
+            min_percent: percent,
         });
         phase.is_measured &= is_continuous || phase.since == now;
-        phase.smallest = phase.smallest.min(percent);
+        phase.min_percent = phase.min_percent.min(percent);
         let phase = *phase;
         if now.since(phase.since) as f64 > self.phase_us() * LASTING_FACTOR {
-            self.baseline = phase.smallest;
+            self.baseline = phase.min_percent;
             self.phase = None;
         }
     }
@@ -126,10 +127,10 @@
             return;
         }
         self.ended_us += now.since(phase.since) as f64;
-        self.ended += 1.0;
-        if self.ended > AVERAGED_PHASES {
+        self.ended_phases += 1.0;
+        if self.ended_phases > AVERAGED_PHASES {
             self.ended_us /= 2.0;
-            self.ended /= 2.0;
+            self.ended_phases /= 2.0;
         }
     }
 
@@ -260,7 +261,7 @@
 
     /// The learned length of slow phases, in microseconds.
     pub fn phase_us(&self) -> f64 {
-        (self.ended_us + INITIAL_PHASE_US * INITIAL_PHASES) / (self.ended + INITIAL_PHASES)
+        (self.ended_us + INITIAL_PHASE_US * INITIAL_PHASES) / (self.ended_phases + INITIAL_PHASES)
     }
 
     fn baseline(&self) -> u32 {
--- a/components/home/src/request_limit.rs
+++ b/components/home/src/request_limit.rs
@@ -66,9 +66,8 @@
         is_unknown
     }
 
-    /// Records that another incarnation of the upstream has taken the place of the last one. One
-    /// with the same identity may receive requests meant for the last one, whose limit applies
-    /// until an answer changes it.
+    /// Records that another incarnation has replaced the upstream. One with the same identity may
+    /// receive requests meant for the previous one, whose limit applies until an answer changes it.
     pub fn replaced(&mut self, is_same_identity: bool) {
         if is_same_identity {
             self.has_answer = false;
--- a/components/home/src/run_times.rs
+++ b/components/home/src/run_times.rs
@@ -17,8 +17,8 @@
 /// Run times of one class.
 #[derive(Debug, Clone, Default)]
 pub struct RunTimes {
-    /// Runs of the incomplete block, in microseconds.
-    open: Vec<u64>,
+    /// Run times of the incomplete block, in microseconds.
+    incomplete: Vec<u64>,
     /// 90th percentiles of the last blocks, in microseconds.
     blocks: Vec<u64>,
     /// Index of the block that is replaced next.
@@ -28,13 +28,13 @@
 impl RunTimes {
     /// Records the duration of a run, in microseconds.
     pub fn record(&mut self, us: u64) {
-        self.open.push(us);
-        if self.open.len() < BLOCK_RUNS {
+        self.incomplete.push(us);
+        if self.incomplete.len() < BLOCK_RUNS {
             return;
         }
-        self.open.sort_unstable();
-        let p90_us = self.open[P90_INDEX];
-        self.open.clear();
+        self.incomplete.sort_unstable();
+        let p90_us = self.incomplete[P90_INDEX];
+        self.incomplete.clear();
         if self.blocks.len() < BLOCKS {
             self.blocks.push(p90_us);
         } else {
--- a/components/home/src/stragglers.rs
+++ b/components/home/src/stragglers.rs
@@ -129,7 +129,7 @@
         self.run_times.get(&class)?.p90_us()
     }
 
-    /// Discards the run times when another incarnation takes the place of the upstream.
+    /// Discards the run times when another incarnation replaces the upstream.
     pub fn forget_run_times(&mut self) {
         self.run_times.clear();
     }
--- a/components/model/src/site.rs
+++ b/components/model/src/site.rs
@@ -128,8 +128,8 @@
 pub struct Callers {
     /// Maximum number of tries per caller.
     pub max_tries: u32,
-    /// Whether a caller that is told to wait longer than a third of its remaining time waits for
-    /// that third; otherwise it gives up.
+    /// Whether a caller retries after a third of its remaining time if `Retry-After` is longer than
+    /// that; otherwise it gives up.
     pub shortens_long_waits: bool,
     /// Latency between a caller and its node, in microseconds.
     pub latency_us: u64,
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -24,7 +24,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// Interval of the ticks of a home duty.
+/// Interval of the ticks of a home duty, in microseconds.
 const TICK_US: u64 = 5 * MILLISECOND;
 /// Retry budget as configured in deployments: share of the requests, and slack per VM.
 const RETRY_RATIO: f64 = 0.2;
--- a/components/model/src/world/entry_side.rs
+++ b/components/model/src/world/entry_side.rs
@@ -12,7 +12,7 @@
 /// Candidate upstreams per request, in the node's own hall and in each other hall.
 const SAME_HALL_CANDIDATES: usize = 8;
 const OTHER_HALL_CANDIDATES: usize = 2;
-/// Time reserved for the answer's way back to the entry node.
+/// Time reserved for the return of the answer to the entry node, in microseconds.
 const RETURN_TIME_US: u64 = 3 * MILLISECOND;
 /// Added to the priority of a request for each level of calls made for it.
 const NESTED_CALL_PRIORITY: u8 = 10;
--- a/components/model/src/world/home_side.rs
+++ b/components/model/src/world/home_side.rs
@@ -7,7 +7,7 @@
 use home::{Action, Offer, PriorStarts, ProbeResult, Verdict};
 use names::{AttemptId, MILLISECOND};
 
-/// Duration of a health probe.
+/// Duration of a health probe, in microseconds.
 pub(super) const PROBE_US: u64 = MILLISECOND;
 
 impl World {
--- a/components/notices/src/rate.rs
+++ b/components/notices/src/rate.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 const MILLI_PER_UNIT: u64 = 1_000;
-/// Number of significant digits after the decimal point.
+/// Number of digits after the decimal point that are parsed; further ones are ignored.
 const MILLI_DIGITS: usize = 3;
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
@@ -25,16 +25,16 @@
 
     /// Parses a decimal number without sign or exponent. Larger values saturate.
     pub fn parse(text: &str) -> Option<RequestRate> {
-        let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
+        let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
         let is_digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
-        if !is_digits(whole) || !is_digits(fraction) {
+        if !is_digits(integer) || !is_digits(fraction) {
             return None;
         }
         let significant = &fraction[..fraction.len().min(MILLI_DIGITS)];
         let fraction: u64 = format!("{significant:0<MILLI_DIGITS$}").parse().ok()?;
         // A string of digits can fail to parse only because it is too long.
-        let whole = whole.parse::<u64>().unwrap_or(u64::MAX);
-        let milli_per_s = whole
+        let integer = integer.parse::<u64>().unwrap_or(u64::MAX);
+        let milli_per_s = integer
             .saturating_mul(MILLI_PER_UNIT)
             .saturating_add(fraction);
         Some(RequestRate { milli_per_s })
@@ -45,7 +45,7 @@
         self.milli_per_s as f64 / MILLI_PER_UNIT as f64
     }
 
-    /// Number of complete requests within `us` microseconds at this rate.
+    /// Number of requests within `us` microseconds at this rate, rounded down.
     pub fn requests_in_us(self, us: u64) -> u64 {
         let requests = u128::from(self.milli_per_s) * u128::from(us)
             / u128::from(MILLI_PER_UNIT)
--- a/components/quota/src/quotas.rs
+++ b/components/quota/src/quotas.rs
@@ -17,7 +17,7 @@
 
 /// Timeout for the answer of a token holder, after which the next holder is asked.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Maximum time for which a holder without a token is not asked again, in microseconds, whatever
+/// Maximum time for which no token is requested from a holder without one, in microseconds, whatever
 /// wait it reported: limits may be raised, and shares may be leased to it again.
 const MAX_BACKOFF_US: u64 = 500 * MILLISECOND;
 /// The same for a holder without a lease, in microseconds.
@@ -221,8 +221,8 @@
         latest.min(first_requested + FIRST_LEASE_TIMEOUT_US)
     }
 
-    /// The other nodes that this one would lease its share to if it were connected to its whole
-    /// hall.
+    /// The other nodes that this one would lease its share to if it were connected to all nodes of
+    /// its hall.
     pub fn token_holders(peers: &impl Peers) -> Vec<Name> {
         let holders = ranked(peers, peers.in_hall())
             .into_iter()
