--- a/components/era/src/duty.rs
+++ b/components/era/src/duty.rs
@@ -40,7 +40,7 @@
     /// When this node offers its record next.
     offer_at: Option<Moment>,
     /// Until when an unanswered write may still take effect.
-    in_doubt_until: Option<Moment>,
+    late_write_until: Option<Moment>,
     rng: SmallRng,
 }
 
@@ -51,7 +51,7 @@
             known: None,
             read: None,
             offer_at: None,
-            in_doubt_until: None,
+            late_write_until: None,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -117,15 +117,15 @@
         if era != self.known {
             return;
         }
-        let in_doubt = self.in_doubt_until.take().filter(|until| *until > now);
+        let late_write = self.late_write_until.take().filter(|until| *until > now);
         self.offer_at = match self.offer_at {
-            Some(_) => in_doubt.map(|until| until + AFTER_LATE_WRITE_US),
+            Some(_) => late_write.map(|until| until + AFTER_LATE_WRITE_US),
             None => None,
         };
     }
 
     /// Records that a write of the node's record was not answered.
     pub fn write_unanswered(&mut self, now: Moment) {
-        self.in_doubt_until = Some(now + LATE_WRITE_US);
+        self.late_write_until = Some(now + LATE_WRITE_US);
     }
 }
