--- a/components/model/src/caller.rs
+++ b/components/model/src/caller.rs
@@ -15,7 +15,6 @@
     pub(crate) end: Option<End>,
     /// Refusals of tries after the first.
     pub(crate) retry_refusals: u32,
-    /// Cost of its request and of the calls made for it.
     pub(crate) cost: Cost,
 }
 
--- a/components/model/src/demand.rs
+++ b/components/model/src/demand.rs
@@ -46,7 +46,6 @@
 pub struct Surge {
     pub from: Moment,
     pub until: Moment,
-    /// What increases, and by which factor.
     pub kind: SurgeKind,
 }
 
--- a/components/model/src/world.rs
+++ b/components/model/src/world.rs
@@ -26,7 +26,7 @@
 
 /// Interval of the ticks of a home duty, in microseconds.
 const TICK_US: u64 = 5 * MILLISECOND;
-/// Retry budget as configured in deployments: share of the requests, and slack per VM.
+/// Retry budget as configured in deployments: fraction of the requests, and slack in repeats per VM.
 const RETRY_RATIO: f64 = 0.2;
 const RETRY_SLACK_PER_VM: f64 = 2.1;
 
--- a/components/quota/src/lender.rs
+++ b/components/quota/src/lender.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The holders to request a token of an account from, in this order.
+    /// The holders from which a token of an account is requested, in this order.
     pub fn holders_for(&self, account: &Name) -> Vec<Name> {
         let offset = account.as_str().bytes().map(usize::from).sum::<usize>();
         let mut holders: Vec<Name> = Vec::new();
