--- a/components/daemon/src/boot_record.rs
+++ b/components/daemon/src/boot_record.rs
@@ -140,7 +140,7 @@
     record.known
 }
 
-/// The process was paused: keys are uncertain until the boot record has been checked.
+/// Handles a pause of the process: keys are uncertain until the boot record has been checked.
 pub fn on_pause(node: &Rc<Node>) {
     if node.checking_pause.replace(true) {
         return;
@@ -152,8 +152,8 @@
     local::spawn(run_after_pause(node.clone()));
 }
 
-/// This boot is the latest and has adopted all keys that it can learn. Keys remain uncertain only
-/// until the time at which the predecessor's unknown keys expire.
+/// Called once this boot is known to be the latest and has adopted all keys that it can learn.
+/// Keys remain uncertain only until the time at which the predecessor's unknown keys expire.
 pub fn reset_uncertainty(node: &Rc<Node>) {
     let mut claims = node.claims.borrow_mut();
     claims.clear_uncertainty();
--- a/components/daemon/src/callers/pipeline.rs
+++ b/components/daemon/src/callers/pipeline.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of requests in one pipeline.
 pub const MAX_PIPELINED: usize = 8;
-/// Maximum number of requests, in all pipelines of a node, that run behind an unanswered one.
+/// Maximum number of requests that run behind an unanswered one, in all pipelines of a node.
 const MAX_BEHIND: usize = 256;
 /// Maximum size of buffered answers, in bytes: beyond it, no further request is added to a
 /// pipeline. Requests that are running by then may still add their answers.
--- a/components/daemon/src/callers/serve.rs
+++ b/components/daemon/src/callers/serve.rs
@@ -42,7 +42,7 @@
 const CALL_PRIORITY: u8 = 10;
 /// Distance between the priorities of two accounts: the priorities of all routes fit in between.
 const ACCOUNT_PRIORITY_STEP: u8 = 10;
-/// Added instead where requests have accounts.
+/// The same as [`CALL_PRIORITY`], where requests have accounts.
 const ACCOUNT_CALL_PRIORITY: u8 = ACCOUNT_PRIORITY_STEP * (MAX_PRIORITY + 1);
 /// Prefix of this program's own headers, which are not passed on.
 const OWN_PREFIX: &str = "drumwheel-";
@@ -409,7 +409,7 @@
     not_run(Reason::Leaving, CLOSING_RETRY_MS)
 }
 
-/// A node without a configuration can't tell whether an earlier try with the same key ran.
+/// A node without a configuration can't determine whether an earlier try with the same key ran.
 fn unconfigured_outcome(call: &CallerRequest) -> RelayOutcome {
     if call.key.is_some() {
         return RelayOutcome::Unknown(Reason::NoConfiguration);
--- a/components/daemon/src/configuration.rs
+++ b/components/daemon/src/configuration.rs
@@ -35,7 +35,7 @@
 /// the previous revision until the check is complete.
 ///
 /// The check continues if the calling future is dropped: a revision whose check was dropped
-/// half-way would count as being checked for ever, and would not be accepted from any source.
+/// half-way would count as being checked indefinitely, and would not be accepted from any source.
 pub async fn apply_revision(
     node: &Rc<Node>,
     unchecked: impl Into<UncheckedRevision>,
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -18,7 +18,7 @@
 
 /// Header that names the attempt to an upstream, where the platform lists the VMs.
 const ATTEMPT_HEADER: &str = "drumwheel-attempt";
-/// Status of an upstream that is not the instance that was meant; it has not run the request.
+/// Status by which an upstream rejects, without running it, a request meant for another instance.
 const WRONG_INSTANCE: u16 = 421;
 
 /// Exchanges one request with the upstream and returns the verdict on the attempt, with its answer
@@ -75,8 +75,8 @@
     cause: Error,
 }
 
-/// Distinguishes the break of one exchange from a crash of the upstream, of which a request that
-/// was running may be the cause. A draining upstream exits as planned, which makes no request
+/// Distinguishes the break of one exchange from a crash of the upstream, which a running request
+/// may have caused. A draining upstream exits as planned, which makes no request
 /// suspect.
 async fn classify_break(
     node: &Rc<Node>,
@@ -190,13 +190,13 @@
     (verdict, Some(answer))
 }
 
-/// How long work takes at the upstream by its answer, in percent of the typical time.
+/// The run time at the upstream, as its answer reports it, in percent of the typical one.
 pub fn reported_slow_percent(node: &Node, answer: &Answer) -> Option<u32> {
     let name = node.cfg.headers.load.as_deref()?;
     slow_percent(http1::header_value(&answer.headers, name)?)
 }
 
-/// The fourth field of a load header: how long work takes, in percent of the typical time.
+/// The fourth field of a load header: the run time in percent of the typical one.
 fn slow_percent(load: &str) -> Option<u32> {
     load.split(',').nth(3)?.trim().parse().ok()
 }
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -253,7 +253,7 @@
     });
 }
 
-/// Applies a report from `source` and logs when the upstream has become cold or warm by it.
+/// Applies a report from `source` and logs when the upstream has become cold or warm because of it.
 fn log_cold_change(node: &Node, source: &'static str, apply: impl FnOnce()) {
     let remaining_us = || {
         let now = node.now();
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -131,7 +131,7 @@
     Ok(())
 }
 
-/// Returns a function that tells whether a node accepts callers' requests.
+/// Returns a function that reports whether a node accepts callers' requests.
 fn readiness(node: &Rc<Node>) -> Rc<dyn Fn() -> Readiness> {
     let node = node.clone();
     Rc::new(move || match node.in_force() {
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -104,8 +104,8 @@
     ProbeResult::Reported { percent, cold_us }
 }
 
-/// How much longer the upstream is cold by its answer, in microseconds. A healthy one that does not
-/// report it is warm.
+/// Remaining time for which the upstream is cold, as its answer reports it, in microseconds. A
+/// healthy upstream that does not report it is warm.
 fn reported_cold_us(node: &Node, answer: &Answer) -> Option<u64> {
     let name = node.cfg.headers.cold_ms.as_deref()?;
     match http1::header_value(&answer.headers, name) {
--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -66,7 +66,7 @@
 /// An earlier group of a service: when it was replaced, and its upstreams.
 pub type FormerGroup = (Moment, Vec<Name>);
 
-/// Separates the id of a request from what a call made for it appends.
+/// Separates the id of a request from the suffix in the ids of calls made on its behalf.
 const CHILD_SEPARATOR: char = '.';
 
 /// The state that the tasks of a node share. One thread runs them all, so no lock is needed. A borrow
--- a/components/daemon/src/registration/door.rs
+++ b/components/daemon/src/registration/door.rs
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest head, in bytes.
+/// Maximum size of a head, in bytes.
 const MAX_HEAD_BYTES: usize = 8_000;
-/// Largest body, in bytes.
+/// Maximum size of a body, in bytes.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// Time without a registration after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -19,9 +19,10 @@
 /// Maximum wait while another incarnation waits for an acknowledgement, which it expects within a
 /// second.
 const IDENTITY_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// Largest answer, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 64 * 1024;
-/// Checks for a configuration, which names the health path, and the pause between them.
+/// Maximum number of checks for a configuration, which names the health path, and the pause
+/// between them.
 const CONFIGURATION_CHECKS: u32 = 50;
 const CONFIGURATION_PAUSE: Duration = Duration::from_millis(20);
 
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -122,8 +122,8 @@
 }
 
 /// Whether a report about the local upstream matches the settings. One that names another service
-/// or address is not about it and must be rejected: otherwise calls from this VM are made in the
-/// name of a service that nobody has, and its upstream gets no more work.
+/// or address is not about it and must be rejected: otherwise calls from this VM are attributed
+/// to a service that no VM runs, and its upstream gets no more work.
 pub fn matches_settings(
     node: &Node,
     registration: &Registration,
--- a/components/daemon/src/registration/offer.rs
+++ b/components/daemon/src/registration/offer.rs
@@ -23,9 +23,9 @@
 use std::time::Duration;
 use wire::Frame;
 
-/// Time after which another node is asked to write a record that the store has not accepted: a
-/// quarter of what the spread of the offers leaves of the two seconds within which records must be
-/// stored again.
+/// Time after which another node is asked to write a record that the store has not accepted.
+/// Records must be stored again within two seconds, of which the offers are spread over a part;
+/// this is a quarter of the rest.
 const DELEGATE_AFTER: Duration = Duration::from_millis(250);
 /// Maximum pause between two such requests: each causes a call to the platform.
 const MAX_DELEGATE_PAUSE: Duration = Duration::from_secs(4);
@@ -89,7 +89,7 @@
     }
 }
 
-/// A node that the store answers according to its notices, or any other if there is none.
+/// A node whose notices report that the store answers it, or any other node if there is none.
 fn pick_writer(node: &Rc<Node>) -> Option<Name> {
     let watchers = node.watch.borrow().active_watchers(node.now());
     let connected = |vm: &&Name| links::is_connected(node, vm);
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -23,8 +23,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Checks for the first registration of the upstream before the record is written without one, and
-/// the pause between them. Together they last longer than the interval of registrations, and at the
+/// Number of checks for the first registration of the upstream before the record is written without
+/// one, and the pause between them. Together they last longer than the interval of registrations, and at the
 /// first start of the fleet longer than upstreams take to start and register. Otherwise nodes write
 /// twice.
 const UPSTREAM_CHECKS: u32 = 40;
@@ -116,7 +116,7 @@
 }
 
 /// Removes this node's record from the store, at the end of a planned stop after the upstream has
-/// exited: the VM is removed too, and other nodes need not look for it.
+/// exited: the VM is removed too, and other nodes need not find it.
 pub async fn withdraw(node: &Rc<Node>, registration: &Registration, limit: Duration) {
     let is_gone = |registration: &Registration| {
         let local = registration.local.borrow();
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// The evacuated halls have changed: updates the drain state of the local upstream and notifies
+/// Handles a change of the evacuated halls: updates the drain state of the local upstream and notifies
 /// other nodes. A change that was reported by a node of the own hall is not forwarded.
 fn on_change(node: &Rc<Node>, registration: &Registration, from: Option<&Name>) {
     let now = node.now();
--- a/components/daemon/src/watching/mod.rs
+++ b/components/daemon/src/watching/mod.rs
@@ -39,9 +39,9 @@
 /// Interval of the check for two answers that arrive at the same time. A link of 10 Mbit/s
 /// transfers 12 KB in it.
 const OVERLAP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// First pause after a failed call; it doubles with each further failure.
+/// First pause after a failed call, in milliseconds; it doubles with each further failure.
 pub const MIN_PAUSE_MS: u64 = 100;
-/// Longest pause after a failed call.
+/// Maximum pause after a failed call, in milliseconds.
 const MAX_PAUSE_MS: u64 = 3_000;
 
 /// State of the platform as this node sees it.
