--- a/components/daemon/src/containment.rs
+++ b/components/daemon/src/containment.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// How a request from a caller is treated.
+/// The verdict of this node's quarantine on a request.
 pub fn verdict(node: &Node, req: &Request) -> Verdict {
     let quarantine = node.containment.quarantine.borrow();
     if quarantine.is_empty() {
@@ -134,8 +134,9 @@
             retry_after_ms: COPY_RETRY_AFTER_MS,
         });
     }
-    let is_crowded = offer.suspicion != Suspicion::Shared && jobs.values().any(|job| job.suspect);
-    is_crowded.then_some(Refusal {
+    let has_other_suspect =
+        offer.suspicion != Suspicion::Shared && jobs.values().any(|job| job.suspect);
+    has_other_suspect.then_some(Refusal {
         reason: Reason::Busy,
         retry_after_ms: COPY_RETRY_AFTER_MS,
     })
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -109,7 +109,8 @@
         .is_some_and(|home| home.cold_limiter().is_cold(now))
 }
 
-/// Headers and other options of the exchange; `expected` is the incarnation that is meant.
+/// Headers and other options of the exchange; `expected` is the incarnation that the request is
+/// meant for.
 fn options<'a>(
     node: &'a Node,
     id: AttemptId,
--- a/components/daemon/src/home_driver.rs
+++ b/components/daemon/src/home_driver.rs
@@ -273,8 +273,8 @@
 pub fn update_drain_state(node: &Rc<Node>) {
     let leaving = node.is_draining();
     let now = node.now();
-    let was_leaving = node.load().leaving;
-    if node.home.borrow().is_none() || was_leaving == leaving {
+    let was_draining = node.load().leaving;
+    if node.home.borrow().is_none() || was_draining == leaving {
         return;
     }
     tracing::info!(leaving, "the upstream's drain state changed");
--- a/components/daemon/src/links/heartbeat.rs
+++ b/components/daemon/src/links/heartbeat.rs
@@ -118,9 +118,8 @@
 }
 
 fn send_heartbeat_if_due(node: &Rc<Node>, link: &OpenLink, now: Moment) {
-    let is_quiet =
-        now.since(link.last_received.get().max(link.last_sent.get())) > HEARTBEAT_AFTER_US;
-    if !is_quiet || !node.gate.borrow_mut().spend(now, Act::HEARTBEAT) {
+    let is_due = now.since(link.last_received.get().max(link.last_sent.get())) > HEARTBEAT_AFTER_US;
+    if !is_due || !node.gate.borrow_mut().spend(now, Act::HEARTBEAT) {
         return;
     }
     if enqueue(node, &link.sender, &Frame::Heartbeat) {
--- a/components/daemon/src/links/mod.rs
+++ b/components/daemon/src/links/mod.rs
@@ -202,8 +202,8 @@
             return others.chain([self.own_vm()]).collect();
         };
         let fleet = registration.fleet.borrow();
-        let staying = fleet.records().filter(|record| !record.is_gone());
-        staying.map(|record| record.vm.clone()).collect()
+        let present = fleet.records().filter(|record| !record.is_gone());
+        present.map(|record| record.vm.clone()).collect()
     }
 
     fn in_hall(&self) -> Vec<Name> {
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -58,7 +58,7 @@
     /// Whether an upstream that this node's record named is gone or was replaced. From then on the
     /// record is not deferred.
     upstream_replaced: Cell<bool>,
-    /// Whether a comparison brought records of which the nodes of the hall have not been informed.
+    /// Whether records have arrived by a comparison that the nodes of the hall are not notified of.
     pub has_new_records: Cell<bool>,
     /// Time of the last check of the upstream's identity on a registration of another one; 0 for
     /// never.
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -51,7 +51,7 @@
 /// node that is connected to no node of its hall compares each time. If every node compared each
 /// time, comparisons would be a third of the bytes between idle halls.
 const CROSS_HALL_COMPARISONS: usize = 4;
-/// Number of nodes of the hall that receive the digest after a comparison brought records.
+/// Number of nodes of the hall that receive the digest after records have arrived by a comparison.
 const DIGEST_TARGETS: usize = 4;
 
 /// Announces this node's record to all others, directly or through others. While the first
@@ -340,8 +340,8 @@
     }
 }
 
-/// Sends the digest to a few nodes of the hall after a comparison brought records. Records that one
-/// node receives reach the whole hall within three or four rounds.
+/// Sends the digest to a few nodes of the hall after records have arrived by a comparison. Records
+/// that one node receives reach the entire hall within three or four rounds.
 fn send_digest(node: &Rc<Node>, registration: &Registration) {
     let fleet = registration.fleet.borrow();
     let in_hall = connected_in_hall(node, &fleet);
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -43,7 +43,7 @@
 }
 
 /// Relays a request to its key's coordinator and returns the outcome. If a coordinator can't be
-/// reached or is lost, the next node in the ranking takes over; it asks the other nodes whether a
+/// reached or is lost, the next node in the ranking takes over; it queries the other nodes whether a
 /// request with the key ran.
 pub async fn run(
     node: &Rc<Node>,
--- a/components/daemon/src/stop.rs
+++ b/components/daemon/src/stop.rs
@@ -22,7 +22,7 @@
 /// left there.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout for writing the idempotency keys to the platform.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
+const SAVE_KEYS_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Installs the handler of stop signals.
 pub fn signals() -> std::io::Result<Signals> {
@@ -68,7 +68,7 @@
     let idle = is_idle(node);
     match &node.registration {
         Some(registration) => registration::withdraw(node, registration, WITHDRAW_TIMEOUT).await,
-        None => hand_over(node).await,
+        None => save_keys_in_time(node).await,
     }
     if idle {
         tracing::info!("planned stop complete");
@@ -77,8 +77,8 @@
     }
 }
 
-async fn hand_over(node: &Rc<Node>) {
-    let result = async_std::future::timeout(HAND_OVER_TIMEOUT, boot_record::save_keys(node)).await;
+async fn save_keys_in_time(node: &Rc<Node>) {
+    let result = async_std::future::timeout(SAVE_KEYS_TIMEOUT, boot_record::save_keys(node)).await;
     match result {
         Ok(Ok(())) => {}
         Ok(Err(error)) => tracing::warn!(%error, "the idempotency keys were not saved"),
