--- a/components/daemon/src/coordinator.rs
+++ b/components/daemon/src/coordinator.rs
@@ -27,7 +27,7 @@
 
 /// Timeout for another node's reply to a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
-/// Interval of checks for a revision that the sender has already.
+/// Interval of checks for a revision that the sender of a relay has already.
 const REVISION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of these checks.
 const MAX_REVISION_CHECKS: u32 = 25;
@@ -243,8 +243,8 @@
             deadline: self.deadline,
             price: Price::of(self.relay.priority, 0, true),
         };
-        let finished = run_call(node, plan, pending()).await;
-        let outcome = outcome(finished);
+        let result = run_call(node, plan, pending()).await;
+        let outcome = outcome(result);
         let outcome = self.end(outcome);
         if claimed && matches!(outcome, RelayOutcome::NotRun(_)) {
             self.release_later();
@@ -309,10 +309,10 @@
 }
 
 /// "Not run" holds for a key only if a node that remembers the key's runs has reported it.
-fn outcome(finished: CallResult) -> RelayOutcome {
-    match finished.outcome {
+fn outcome(result: CallResult) -> RelayOutcome {
+    match result.outcome {
         Some(Outcome::Answered(answer)) => RelayOutcome::Answered(answer),
-        Some(Outcome::NotRun(refusal)) if finished.has_certain_refusal => {
+        Some(Outcome::NotRun(refusal)) if result.has_certain_refusal => {
             RelayOutcome::NotRun(refusal)
         }
         Some(Outcome::NotRun(refusal)) => RelayOutcome::Unknown(refusal.reason),
--- a/components/daemon/src/exchange.rs
+++ b/components/daemon/src/exchange.rs
@@ -76,8 +76,7 @@
 }
 
 /// Distinguishes the break of one exchange from a crash of the upstream, which a running request
-/// may have caused. A draining upstream exits as planned, which makes no request
-/// suspect.
+/// may have caused. A draining upstream exits as planned, which makes no request suspect.
 async fn classify_break(
     node: &Rc<Node>,
     pool: &Pool,
--- a/components/daemon/src/registration/health.rs
+++ b/components/daemon/src/registration/health.rs
@@ -80,7 +80,7 @@
 }
 
 /// Whether the incarnation `known` still answers at its address, so that no other one runs there.
-/// False also when it is unknown because nothing answers in time.
+/// Also false if this is unknown because nothing answers in time.
 pub async fn still_answers(node: &Rc<Node>, known: &Instance) -> bool {
     let Some(path) = declared_path(node, known) else {
         return false;
--- a/components/daemon/src/registration/mod.rs
+++ b/components/daemon/src/registration/mod.rs
@@ -70,7 +70,7 @@
 }
 
 impl Registration {
-    /// A node that knows only itself.
+    /// Creates the state of a node that knows only itself.
     pub fn new(cfg: &Settings, boot: BootId, adapter: Box<dyn Adapter>) -> Registration {
         let own = Record {
             vm: cfg.vm.clone(),
--- a/components/daemon/src/registration/peers.rs
+++ b/components/daemon/src/registration/peers.rs
@@ -289,7 +289,7 @@
 /// Until declarations are in force, connects to only a few nodes while they are read from the
 /// store, and to a few more once the store has failed to answer. Each receives this node's record
 /// and a summary when its connection opens, and replies with what is newer: a later record of this
-/// node, by which its upstream may be draining, and the evacuated halls.
+/// node, which may report that its upstream is draining, and the evacuated halls.
 async fn dial_contacts(node: &Rc<Node>, registration: &Registration) {
     loop {
         configuration::query_postponed(node, registration);
--- a/components/daemon/src/registration/records.rs
+++ b/components/daemon/src/registration/records.rs
@@ -24,9 +24,9 @@
 use std::time::Duration;
 
 /// Number of checks for the first registration of the upstream before the record is written without
-/// one, and the pause between them. Together they last longer than the interval of registrations, and at the
-/// first start of the fleet longer than upstreams take to start and register. Otherwise nodes write
-/// twice.
+/// one, and the pause between them. Together they last longer than the interval of registrations,
+/// and at the first start of the fleet longer than upstreams take to start and register. Otherwise
+/// nodes write twice.
 const UPSTREAM_CHECKS: u32 = 40;
 const FIRST_START_CHECKS: u32 = 160;
 const UPSTREAM_PAUSE: Duration = Duration::from_millis(50);
