--- a/components/daemon/src/node.rs
+++ b/components/daemon/src/node.rs
@@ -69,14 +69,14 @@
 /// Separates the id of a request from the suffix in the ids of calls made on its behalf.
 const CHILD_SEPARATOR: char = '.';
 
-/// The state that the tasks of a node share. One thread runs them all, so no lock is needed. A borrow
-/// is never held across an `await`.
+/// The state that the tasks of a node share. One thread runs them all, so no lock is needed. A
+/// borrow is never held across an `await`.
 pub struct Node {
     /// Settings as they were at the start.
     pub cfg: Settings,
     /// Settings that can be reloaded while the node runs.
     pub live: Rc<RefCell<Live>>,
-    /// The service in whose name calls from this VM are made.
+    /// The service to which calls from this VM are attributed.
     pub caller_name: CallerName,
     /// Boot of this process.
     pub boot: BootId,
@@ -118,13 +118,13 @@
     pub gate: RefCell<Gate>,
     /// Declarations in force.
     pub rollout: RefCell<Rollout>,
-    /// From which node a newer revision is fetched.
+    /// Decides from which node a newer revision is fetched.
     pub fetch: RefCell<Fetch>,
     /// Groups that services had within the key window, with the time at which they were replaced.
     pub former_groups: RefCell<HashMap<Name, Vec<FormerGroup>>>,
     /// The VMs as the platform lists them.
     pub view: RefCell<View>,
-    /// Whether this node polls the platform for updates.
+    /// Watch duty, by which a node decides whether it polls the platform for updates.
     pub watch: RefCell<Watch>,
     /// The first read of the declarations after the start; other work waits for it.
     pub first_read: RefCell<FirstRead>,
@@ -164,7 +164,7 @@
     pub last_tick: Cell<Moment>,
     /// Until when the predecessor of this boot may have used keys that this one does not know.
     pub unclean_until: Cell<Moment>,
-    /// Whether a check is running, at the platform, that no other boot took over during a pause.
+    /// Whether this boot is checking with the platform that no other boot took over in a pause.
     pub checking_pause: Cell<bool>,
     /// Callers' requests and relays in progress.
     pub open_calls: Cell<usize>,
--- a/components/daemon/src/relay.rs
+++ b/components/daemon/src/relay.rs
@@ -43,8 +43,8 @@
 }
 
 /// Relays a request to its key's coordinator and returns the outcome. If a coordinator can't be
-/// reached or is lost, the next node in the ranking takes over; it queries the other nodes whether a
-/// request with the key ran.
+/// reached or is lost, the next node in the ranking takes over; it finds out from the
+/// other nodes whether a request with the key ran.
 pub async fn run(
     node: &Rc<Node>,
     in_force: &InForce,
--- a/components/daemon/src/watching/evacuations.rs
+++ b/components/daemon/src/watching/evacuations.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Handles a change of the evacuated halls: updates the drain state of the local upstream and notifies
-/// other nodes. A change that was reported by a node of the own hall is not forwarded.
+/// Handles a change of the evacuated halls: updates the drain state of the local upstream and
+/// notifies other nodes. A change that was reported by a node of the own hall is not forwarded.
 fn on_change(node: &Rc<Node>, registration: &Registration, from: Option<&Name>) {
     let now = node.now();
     {
