--- a/components/daemon/src/entry_driver.rs
+++ b/components/daemon/src/entry_driver.rs
@@ -5,7 +5,7 @@
 use crate::containment;
 use crate::home_driver;
 use crate::links::{self, Reply};
-use crate::node::{Node, Waiter, Whole};
+use crate::node::{Node, SharedAnswer, Waiter};
 use async_channel::{Receiver, Sender};
 use audit::stats::{self, Stage};
 use entry::{Action, Call, Candidate, Event, Origin, Outcome, Price, Treatment, RETURN_TIME_US};
@@ -20,40 +20,40 @@
 use std::sync::Arc;
 use wire::{Frame, Request};
 
-/// Events of one call that may wait; a call has few attempts and each ends once.
-const EVENTS: usize = 32;
+/// Capacity of a call's event queue; a call has few attempts, and each ends once.
+const EVENT_QUEUE_LENGTH: usize = 32;
 
-/// One request on its way to an outcome.
-struct Running<'a> {
+/// A call in progress.
+struct RunningCall<'a> {
     node: &'a Rc<Node>,
     req: Arc<Request>,
     treatment: Treatment,
     key: Option<KeyHash>,
-    /// Since when its objective runs.
-    began: Moment,
-    /// Whether its caller was refused before.
+    /// When its objective began.
+    objective_start: Moment,
+    /// Whether an earlier try of its caller was refused.
     is_retry: bool,
     price: Price,
-    call: Call<Whole>,
-    tx: Sender<Event<Whole>>,
+    call: Call<SharedAnswer>,
+    tx: Sender<Event<SharedAnswer>>,
     attempts: Vec<AttemptId>,
 }
 
-/// How a call ended.
+/// Result of a call.
 pub struct CallResult {
-    /// The outcome; none when the caller hung up.
-    pub outcome: Option<Outcome<Whole>>,
-    /// Whether a home duty that knows the call's idempotency key refused an offer.
+    /// The outcome; none when the caller disconnected.
+    pub outcome: Option<Outcome<SharedAnswer>>,
+    /// Whether a home duty that has records of the call's idempotency key refused an offer.
     pub has_certain_refusal: bool,
 }
 
-/// What a call needs to know.
+/// Input of a call.
 pub struct CallPlan {
     /// Upstreams that may serve it.
     pub candidates: Vec<Candidate>,
-    /// Upstreams to which no connection is open, for when none of those takes work any more.
+    /// Upstreams without an open connection, used once none of the candidates accepts work any more.
     pub reserve: Vec<Candidate>,
-    /// What the policy says.
+    /// Treatment by the policy.
     pub treatment: Treatment,
     /// The request.
     pub req: Arc<Request>,
@@ -61,21 +61,22 @@
     pub key: Option<KeyHash>,
     /// The caller's deadline.
     pub deadline: Moment,
-    /// The caller's try, where its objective runs from its first one.
+    /// The caller's try; set if its objective counts from its first try.
     pub caller_try: Option<Try>,
-    /// What an offer may cost.
+    /// Prices for the selection of an upstream.
     pub price: Price,
-    /// The VMs at which it may run, the best first, if an upstream ended while it ran a copy.
+    /// VMs at which the request may run, best first; set if an upstream has terminated while it ran
+    /// a copy.
     pub suspect_order: Option<Vec<Name>>,
 }
 
-/// Takes a request to its outcome.
+/// Runs a call until it has an outcome or its caller disconnects.
 pub async fn run_call(
     node: &Rc<Node>,
     plan: CallPlan,
-    hung_up: impl Future<Output = ()>,
+    disconnected: impl Future<Output = ()>,
 ) -> CallResult {
-    let (tx, rx) = async_channel::bounded(EVENTS);
+    let (tx, rx) = async_channel::bounded(EVENT_QUEUE_LENGTH);
     let price = plan.price;
     let call = Call::new(
         plan.req.service.clone(),
@@ -89,12 +90,12 @@
         Some(order) => call.with_suspect_order(order),
         None => call,
     };
-    let mut running = Running {
+    let mut running = RunningCall {
         node,
         req: plan.req,
         treatment: plan.treatment,
         key: plan.key,
-        began: plan
+        objective_start: plan
             .caller_try
             .map_or(node.now(), |caller_try| caller_try.first_at),
         is_retry: plan
@@ -105,13 +106,13 @@
         tx,
         attempts: Vec::new(),
     };
-    let outcome = running.run(&rx, plan.deadline, pin!(hung_up)).await;
-    running.forget();
+    let outcome = running.run(&rx, plan.deadline, pin!(disconnected)).await;
+    running.remove_waiters();
     while let Ok(event) = rx.try_recv() {
         running.step(event);
     }
     if matches!(&outcome, Some(Outcome::Answered(answer)) if !answer.is_error()) {
-        containment::answered(node, &running.req);
+        containment::on_remote_completion(node, &running.req);
     }
     CallResult {
         outcome,
@@ -119,13 +120,13 @@
     }
 }
 
-impl Running<'_> {
+impl RunningCall<'_> {
     async fn run(
         &mut self,
-        rx: &Receiver<Event<Whole>>,
+        rx: &Receiver<Event<SharedAnswer>>,
         deadline: Moment,
-        mut hung_up: Pin<&mut impl Future<Output = ()>>,
-    ) -> Option<Outcome<Whole>> {
+        mut disconnected: Pin<&mut impl Future<Output = ()>>,
+    ) -> Option<Outcome<SharedAnswer>> {
         let mut event = Event::Begin;
         loop {
             if let Some(outcome) = self.step(event) {
@@ -134,17 +135,17 @@
             if self.call.is_done() {
                 return None;
             }
-            let next = pin!(self.node.clock.by(deadline, rx.recv()));
-            event = match select(next, hung_up.as_mut()).await {
+            let next = pin!(self.node.clock.timeout_at(deadline, rx.recv()));
+            event = match select(next, disconnected.as_mut()).await {
                 Either::Left((Ok(Ok(event)), _)) => event,
-                Either::Left((_, _)) => self.expired(),
+                Either::Left((_, _)) => self.on_deadline(),
                 Either::Right(((), _)) => Event::CallerDisconnected,
             };
         }
     }
 
-    /// At the deadline an offer that never left this node was truly not run.
-    fn expired(&mut self) -> Event<Whole> {
+    /// At the deadline, an offer that never left this node is certain not to have run.
+    fn on_deadline(&mut self) -> Event<SharedAnswer> {
         let Some(id) = self.attempts.last().copied() else {
             return Event::Expired;
         };
@@ -160,11 +161,11 @@
         Event::Expired
     }
 
-    fn step(&mut self, event: Event<Whole>) -> Option<Outcome<Whole>> {
+    fn step(&mut self, event: Event<SharedAnswer>) -> Option<Outcome<SharedAnswer>> {
         let now = self.node.now();
         let is_straggler = matches!(event, Event::Straggles(_));
-        // An upstream may have ended under a copy since the call began.
-        if is_straggler && containment::standing(self.node, &self.req) != Verdict::Free {
+        // An upstream may have terminated while it ran a copy since the call began.
+        if is_straggler && containment::verdict(self.node, &self.req) != Verdict::Free {
             self.call.forbid_hedge();
         }
         let actions = {
@@ -173,7 +174,7 @@
         };
         if let Some(hedge) = self.call.take_hedge() {
             stats::hedged(hedge.decision);
-            audit::hedged(&self.req.id, &hedge);
+            audit::hedge_decided(&self.req.id, &hedge);
         }
         let mut outcome = None;
         for action in actions {
@@ -186,7 +187,7 @@
                     repeat,
                     suspicion,
                 } => self.offer(id, to, may_queue, repeat, suspicion),
-                Action::Query { id, to } => links::ask(self.node, &to, id),
+                Action::Query { id, to } => links::query(self.node, &to, id),
                 Action::Cancel { id, to } => self.cancel(id, &to),
             }
         }
@@ -202,13 +203,13 @@
         suspicion: Suspicion,
     ) {
         let node = self.node;
-        let left = self.call.deadline().since(node.now());
+        let remaining_us = self.call.deadline().since(node.now());
         let view = node.entry.borrow().view(&to);
         let offer = Offer {
             id,
             service: self.req.service.clone(),
-            remaining_us: left.saturating_sub(RETURN_TIME_US),
-            objective_us: self.objective_us(),
+            remaining_us: remaining_us.saturating_sub(RETURN_TIME_US),
+            objective_us: self.remaining_objective_us(),
             priority: self.treatment.priority,
             level: self.req.level,
             repeatable: self.treatment.repeatable,
@@ -226,7 +227,7 @@
             stats::repeat_offered();
         }
         let age_us = node.now().since(view.reported_at);
-        audit::offered(&self.req.id, &offer, &to, &view, age_us);
+        audit::request_offered(&self.req.id, &offer, &to, &view, age_us);
         self.attempts.push(id);
         let waiter = Waiter {
             tx: self.tx.clone(),
@@ -237,25 +238,25 @@
         };
         node.waiters.borrow_mut().insert(id, waiter);
         if local {
-            home_driver::offer(node, &to, offer, self.key, self.req.clone(), Reply::Own);
+            home_driver::on_offer(node, &to, offer, self.key, self.req.clone(), Reply::Local);
         } else {
             links::offer(node, &to, offer, self.key, self.req.clone());
         }
     }
 
-    /// Whether the node beside the upstream is asked to tell when the run takes much longer than usual. Calls made by
-    /// upstreams are not hedged: the request that they are made for is.
+    /// Whether the home duty is to report when the run takes much longer than typical. Calls made
+    /// by upstreams are not hedged, since the request for which they are made is.
     fn reports_straggler(&self) -> bool {
-        let is_of_client = self.treatment.origin == Origin::Client;
+        let is_client_request = self.treatment.origin == Origin::Client;
         let node = self.node;
-        is_of_client
+        is_client_request
             && self.call.may_hedge()
             && activation::is_on(node, node.now(), node.cfg.hedging.mode)
     }
 
-    /// What is left of the time within which an answer has its full worth.
-    fn objective_us(&self) -> Option<u64> {
-        let spent = self.node.now().since(self.began);
+    /// Remaining time within which an answer has its full value.
+    fn remaining_objective_us(&self) -> Option<u64> {
+        let spent = self.node.now().since(self.objective_start);
         let objective = self.price.objective_us;
         objective.map(|objective| objective.saturating_sub(spent))
     }
@@ -268,8 +269,8 @@
         }
     }
 
-    /// Takes the call's attempts out of the node's books; what comes for them now is late.
-    fn forget(&mut self) {
+    /// Removes the call's attempts from the node's table; events that arrive for them now are late.
+    fn remove_waiters(&mut self) {
         let mut waiters = self.node.waiters.borrow_mut();
         for id in &self.attempts {
             waiters.remove(id);
@@ -277,14 +278,14 @@
     }
 }
 
-/// Takes in the state of an upstream that came with an answer or a refusal.
+/// Applies the upstream state reported with an answer or a refusal.
 pub fn on_load_report(node: &Rc<Node>, vm: &Name, load: Load) {
     let now = node.now();
     node.entry.borrow_mut().on_report(now, vm, load);
 }
 
-/// Hands an event to the call that waits for the attempt; counts it as late when there is none.
-pub fn deliver(node: &Rc<Node>, id: AttemptId, event: Event<Whole>) {
+/// Delivers an event to the call that waits for the attempt; counts it as late when there is none.
+pub fn deliver(node: &Rc<Node>, id: AttemptId, event: Event<SharedAnswer>) {
     let refusal = match &event {
         Event::Refused(_, refusal) => Some(*refusal),
         _ => None,
@@ -292,13 +293,13 @@
     let waiters = node.waiters.borrow();
     if let Some(waiter) = waiters.get(&id).filter(|_| !event.is_report()) {
         let took_us = node.now().since(waiter.offered_at);
-        stats::took(Stage::Offer, &waiter.service, event.as_str(), took_us);
+        stats::record_latency(Stage::Offer, &waiter.service, event.as_str(), took_us);
     }
     let delivered = waiters
         .get(&id)
         .is_some_and(|waiter| waiter.tx.try_send(event).is_ok());
     if !delivered {
-        stats::late("event");
+        stats::late_event("event");
         if let Some(refusal) = refusal {
             let mut entry = node.entry.borrow_mut();
             entry.on_late_refusal(node.now(), id, &refusal);
--- a/components/daemon/src/links/frames.rs
+++ b/components/daemon/src/links/frames.rs
@@ -1,4 +1,4 @@
-//! What a node does with each frame.
+//! Dispatch of received frames.
 
 use super::Reply;
 use crate::entry_driver::{deliver, on_load_report};
@@ -15,22 +15,22 @@
 use std::sync::Arc;
 use wire::Frame;
 
-/// Takes in a frame that came from `from`; answers go to `reply`.
-pub fn take_in(node: &Rc<Node>, from: &Name, frame: Frame, reply: &Reply) {
+/// Handles a frame received from `from`; answers go to `reply`.
+pub fn on_frame(node: &Rc<Node>, from: &Name, frame: Frame, reply: &Reply) {
     match frame {
         Frame::Offer {
             offer, key, req, ..
-        } => home_driver::offer(node, from, offer, key, req, reply.clone()),
-        Frame::Claim { id, key } => coordinator::claim(node, from, id, key, reply),
-        Frame::Claimed { id, reply } => coordinator::claimed(node, id, reply),
-        Frame::Recover { id } => recovery::asked(node, from, id, reply),
+        } => home_driver::on_offer(node, from, offer, key, req, reply.clone()),
+        Frame::Claim { id, key } => coordinator::on_claim(node, from, id, key, reply),
+        Frame::Claimed { id, reply } => coordinator::on_claim_reply(node, id, reply),
+        Frame::Recover { id } => recovery::on_recover(node, from, id, reply),
         Frame::Recovered {
             id,
             keys,
             uncertain_us,
-        } => recovery::answered(node, id, keys.map(|keys| (keys, uncertain_us))),
+        } => recovery::on_recovered(node, id, keys.map(|keys| (keys, uncertain_us))),
         Frame::Release { by, key } => node.claims.borrow_mut().release(key, by),
-        Frame::Ask { id, boot } => home_driver::ask(node, id, boot, reply.clone()),
+        Frame::Ask { id, boot } => home_driver::on_query(node, id, boot, reply.clone()),
         Frame::Cancel { id } => home_driver::cancel(node, id),
         Frame::Heartbeat => reply.send(node, Frame::Alive { load: node.load() }),
         Frame::Refused { id, refusal, load } => {
@@ -49,7 +49,7 @@
         } => {
             on_load_report(node, from, load);
             if let Some(incarnation) = leaving {
-                upstream_notices::leaving_told(node, from, &incarnation);
+                upstream_notices::on_remote_departure(node, from, &incarnation);
             }
             let error = answer.is_error();
             deliver(node, id, Event::Answered { id, answer, error });
@@ -57,17 +57,17 @@
         Frame::Broken { id, load, ended } => {
             on_load_report(node, from, load);
             let event = match ended {
-                Some(suspect) => containment::event(node, id, suspect),
+                Some(suspect) => containment::termination_event(node, id, suspect),
                 None => Event::Broken(id),
             };
             deliver(node, id, event);
         }
         Frame::Straggles { id } => deliver(node, id, Event::Straggles(id)),
-        Frame::Ended(suspects) => containment::told(node, from, suspects),
+        Frame::Ended(suspects) => containment::on_suspects(node, from, suspects),
         Frame::Cleared { fingerprint, ran } => {
-            containment::cleared(node, from, fingerprint, ran);
+            containment::on_cleared(node, from, fingerprint, ran);
         }
-        Frame::Told { id, reply } => told(node, id, reply),
+        Frame::Told { id, reply } => on_query_reply(node, id, reply),
         Frame::Alive { load } => {
             on_load_report(node, from, load);
             node.entry.borrow_mut().mark_responsive(from);
@@ -93,59 +93,63 @@
                 revision,
                 req,
             };
-            relay::take_in(node, id, relay, reply.clone());
+            relay::on_relay(node, id, relay, reply.clone());
         }
         Frame::Relayed { id, outcome } => {
-            relay::relayed(node, id, relay::Relayed::Outcome(outcome));
+            relay::on_relayed(node, id, relay::RelayResult::Outcome(outcome));
         }
         Frame::Registered(record) => {
             if let Some(registration) = node.registration.clone() {
-                let source = registration::Source::Told(from, reply);
-                registration::taken(node, &registration, *record, source);
+                let source = registration::Source::Announced(from, reply);
+                registration::on_record(node, &registration, *record, source);
             }
         }
         Frame::Store(record) => {
             if let Some(registration) = node.registration.clone() {
-                registration::store_for(node, &registration, *record);
+                registration::store_for_peer(node, &registration, *record);
             }
         }
         Frame::RecordsDigest(digest) => {
             if let Some(registration) = &node.registration {
-                registration::digest_told(node, registration, digest, reply);
+                registration::on_digest(node, registration, digest, reply);
             }
         }
         Frame::RecordBuckets(bytes) => {
             if let Some(registration) = &node.registration {
-                registration::buckets_told(node, registration, &bytes, reply);
+                registration::on_buckets(node, registration, &bytes, reply);
             }
         }
         Frame::RecordVersions(versions) => {
             if let Some(registration) = &node.registration {
-                registration::versions_told(node, registration, &versions, reply);
+                registration::on_versions(node, registration, &versions, reply);
             }
         }
         Frame::Records(records) => {
             if let Some(registration) = node.registration.clone() {
                 for record in records {
                     let source = registration::Source::Compared(reply);
-                    registration::taken(node, &registration, record, source);
+                    registration::on_record(node, &registration, record, source);
                 }
             }
         }
-        Frame::Summary(summary) => configuration::compare(node, from, &summary, reply),
-        Frame::Watch { word, summary } => watching::heard(node, from, word, &summary, reply),
-        Frame::Want(summary) => configuration::wanted(node, from, &summary, reply),
+        Frame::Summary(summary) => configuration::on_summary(node, from, &summary, reply),
+        Frame::Watch { notice, summary } => {
+            watching::on_notice(node, from, notice, &summary, reply)
+        }
+        Frame::Want(summary) => configuration::on_want(node, from, &summary, reply),
         Frame::Configuration(configuration) => {
             let (node, from) = (node.clone(), from.clone());
             crate::local::spawn(async move {
                 let configuration = Arc::unwrap_or_clone(configuration);
-                configuration::take_in(&node, configuration, Origin::Peer(from)).await;
+                configuration::apply_revision(&node, configuration, Origin::Peer(from)).await;
             });
         }
-        Frame::Vms(list) => configuration::take_in_vms(node, (*list).clone()),
+        Frame::Vms(list) => configuration::apply_vm_list(node, (*list).clone()),
         Frame::Quota(message) => {
             let in_force = node.in_force();
-            let accounts = in_force.as_ref().map(|it| &it.declarations.accounts);
+            let accounts = in_force
+                .as_ref()
+                .map(|in_force| &in_force.declarations.accounts);
             let answer = node.quotas.on_message(node.now(), from, message, accounts);
             if let Some(answer) = answer {
                 reply.send(node, Frame::Quota(answer));
@@ -154,6 +158,10 @@
     }
 }
 
-fn told(node: &Rc<Node>, id: names::AttemptId, reply: QueryReply<crate::node::Whole>) {
+fn on_query_reply(
+    node: &Rc<Node>,
+    id: names::AttemptId,
+    reply: QueryReply<crate::node::SharedAnswer>,
+) {
     deliver(node, id, Event::QueryReplied(id, reply));
 }
--- a/components/daemon/src/look.rs
+++ b/components/daemon/src/look.rs
@@ -1,7 +1,8 @@
-//! Looks at what the upstream beside this node says of itself, when a start hangs on it.
+//! Health probes of the local upstream, sent when the start of an attempt depends on what it reports.
 //!
-//! A look is a measuring act and passes the budget. It goes over a connection that stays open, and the
-//! health check's path answers it without a slot.
+//! A probe is a measuring act and counts against the measuring budget. It is sent over a connection
+//! that is kept open, and the upstream answers at the path of the health check without using a
+//! slot.
 
 use crate::exchange;
 use crate::home_driver;
@@ -9,60 +10,60 @@
 use crate::node::Node;
 use crate::registration::{self, Registration};
 use async_std::future::timeout;
-use audit::stats::{self, Look};
+use audit::stats::{self, ProbeOutcome};
 use budget::Act;
 use home::ProbeResult;
 use names::MILLISECOND;
 use std::rc::Rc;
 use std::time::Duration;
-use upstream::{Failure, Terms};
+use upstream::{ExchangeOptions, Failure};
 use wire::{Answer, Request};
 
-/// Longest wait for the answer: what a start may lose when the upstream does not answer at once. The
-/// users' upstreams answer in 1 to 2 ms.
+/// Timeout for the answer. A start may be delayed by this much when the upstream does not answer at
+/// once; upstreams normally answer in 1 to 2 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
-/// Status of an upstream that takes work.
+/// Status by which an upstream answers that it accepts work.
 const HEALTHY: u16 = 200;
 
-/// Asks the upstream how long work takes there, and tells the home duty.
+/// Probes the upstream and passes the result to the home duty.
 pub fn start(node: &Rc<Node>) {
     let node = node.clone();
     local::spawn(async move {
-        let probed = ask(&node).await;
-        home_driver::probed(&node, probed);
+        let result = probe(&node).await;
+        home_driver::probe_finished(&node, result);
     });
 }
 
-async fn ask(node: &Rc<Node>) -> ProbeResult {
+async fn probe(node: &Rc<Node>) -> ProbeResult {
     let Some(registration) = node.registration.clone() else {
         return ProbeResult::NoAnswer;
     };
-    let Some(pool) = node.look_pool.clone() else {
+    let Some(pool) = node.probe_pool.clone() else {
         return ProbeResult::NoAnswer;
     };
     let Some(req) = request(node, &registration) else {
-        return failed("no path to ask at is declared");
+        return failed("the declarations name no health path");
     };
     let now = node.now();
     if !node.gate.borrow_mut().spend(now, Act::PROBE) {
-        stats::looked(Look::Refused);
+        stats::probe_finished(ProbeOutcome::Refused);
         return ProbeResult::NoBudget;
     }
-    let terms = Terms {
+    let options = ExchangeOptions {
         repeatable: true,
-        ..Terms::default()
+        ..ExchangeOptions::default()
     };
-    let answer = match timeout(ANSWER_TIMEOUT, pool.exchange(&req, &terms)).await {
+    let answer = match timeout(ANSWER_TIMEOUT, pool.exchange(&req, &options)).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(Failure::NotSent(error) | Failure::Broken(error))) => {
             return failed(&error.to_string());
         }
         Err(_) => return failed("no answer in time"),
     };
-    read(node, &registration, &answer)
+    read_answer(node, &registration, &answer)
 }
 
-/// The request for the health check's path, if the declarations name one.
+/// The request for the path of the health check, if the declarations name one.
 fn request(node: &Rc<Node>, registration: &Registration) -> Option<Request> {
     let service = {
         let local = registration.local.borrow();
@@ -82,38 +83,39 @@
     })
 }
 
-/// How long work takes, if the upstream that is expected here says so.
-fn read(node: &Rc<Node>, registration: &Registration, answer: &Answer) -> ProbeResult {
+/// Reads the slowdown and the remaining cold time from an answer of the expected upstream.
+fn read_answer(node: &Rc<Node>, registration: &Registration, answer: &Answer) -> ProbeResult {
     let names = &node.cfg.headers;
     let instance = names
         .instance
         .as_deref()
-        .and_then(|name| http1::value(&answer.headers, name));
-    let expected = registration::current(registration);
+        .and_then(|name| http1::header_value(&answer.headers, name));
+    let expected = registration::local_incarnation(registration);
     let expected = expected.as_ref().map(|expected| expected.id.as_str());
     if instance.is_some() && instance != expected {
-        return failed("another upstream answers");
+        return failed("the answer is from another instance of the upstream");
     }
-    let percent = exchange::reported_percent(node, answer);
+    let percent = exchange::reported_slow_percent(node, answer);
     let cold_us = reported_cold_us(node, answer);
     if percent.is_none() && cold_us.is_none() {
-        return failed("the answer names neither load nor cold");
+        return failed("the answer reports neither load nor remaining cold time");
     }
-    stats::looked(Look::Answered);
+    stats::probe_finished(ProbeOutcome::Answered);
     ProbeResult::Reported { percent, cold_us }
 }
 
-/// How much longer the upstream is cold by its answer, in microseconds. One that is well and says nothing of it is warm.
+/// Remaining time for which the upstream is cold, as its answer reports it, in microseconds. A
+/// healthy upstream that does not report it is warm.
 fn reported_cold_us(node: &Node, answer: &Answer) -> Option<u64> {
     let name = node.cfg.headers.cold_ms.as_deref()?;
-    match http1::value(&answer.headers, name) {
+    match http1::header_value(&answer.headers, name) {
         Some(text) => text.trim().parse::<u64>().ok().map(|ms| ms * MILLISECOND),
         None => (answer.status == HEALTHY).then_some(0),
     }
 }
 
 fn failed(cause: &str) -> ProbeResult {
-    stats::looked(Look::Failed);
-    audit::look_failed(cause);
+    stats::probe_finished(ProbeOutcome::Failed);
+    audit::probe_failed(cause);
     ProbeResult::NoAnswer
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: one INI file, checked whole at start.
+//! Settings of a node: one INI file that is checked completely at startup.
 
 mod accounts;
 mod cold;
@@ -10,6 +10,6 @@
 pub use accounts::AccountBounds;
 pub use cold::ColdLimit;
 pub use headers::Headers;
-pub use millis::{Millis, MILLIS};
-pub use node::{Fleet, LogFormat, RetryLimit, Settings};
+pub use millis::{Millis, MILLIS_FORMAT};
+pub use node::{FleetSource, LogFormat, RetryLimit, Settings};
 pub use shortage::{Admission, Hedging, Mode};
